--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/partition/PartitionHosts.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/partition/PartitionHosts.java
@@ -3,9 +3,9 @@
 import io.hawthornlb.app.entry.EffectSink;
 import io.hawthornlb.core.claim.Claim;
 import io.hawthornlb.core.claim.ClaimView;
+import io.hawthornlb.core.job.DispatcherLost;
 import io.hawthornlb.core.job.PullJobItems;
 import io.hawthornlb.core.job.ServiceBacklog;
-import io.hawthornlb.core.job.StewardLost;
 import io.hawthornlb.core.log.StreamName;
 import io.hawthornlb.core.model.InstanceId;
 import io.hawthornlb.core.model.PartitionId;
@@ -136,7 +136,7 @@
 
   /** Takes notice that an entry is gone, so that its items are given out anew. */
   public void stewardLost(InstanceId steward) {
-    all().forEach(host -> host.on(new StewardLost(steward)));
+    all().forEach(host -> host.on(new DispatcherLost(steward)));
   }
 
   /** Takes nothing new, and brings everything into the log. */
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/job/StewardLost.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/job/DispatcherLost.java
@@ -7,4 +7,4 @@
  *
  * @param steward the steward
  */
-public record StewardLost(InstanceId steward) implements JobEvent {}
+public record DispatcherLost(InstanceId steward) implements JobEvent {}
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/job/support/DefaultJobCoordinator.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/job/support/DefaultJobCoordinator.java
@@ -4,6 +4,7 @@
 import io.hawthornlb.core.effect.AppendRecord;
 import io.hawthornlb.core.effect.Effect;
 import io.hawthornlb.core.job.CancelJob;
+import io.hawthornlb.core.job.DispatcherLost;
 import io.hawthornlb.core.job.DrainJobs;
 import io.hawthornlb.core.job.ItemDispatch;
 import io.hawthornlb.core.job.ItemFailed;
@@ -17,7 +18,6 @@
 import io.hawthornlb.core.job.PullJobItems;
 import io.hawthornlb.core.job.RecordReadBack;
 import io.hawthornlb.core.job.ServiceBacklog;
-import io.hawthornlb.core.job.StewardLost;
 import io.hawthornlb.core.job.SubmitJob;
 import io.hawthornlb.core.log.RecordIdSource;
 import io.hawthornlb.core.log.StreamName;
@@ -165,7 +165,7 @@
       scheduler.finished(report, now, out);
     } else if (event instanceof ItemFailed report) {
       scheduler.failed(report, now, out);
-    } else if (event instanceof StewardLost lost) {
+    } else if (event instanceof DispatcherLost lost) {
       starting.lost(lost.steward());
       scheduler.lost(lost.steward(), now);
     } else if (event instanceof RecordReadBack back) {
