--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/job/DispatcherLost.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/job/DispatcherLost.java
@@ -3,8 +3,8 @@
 import io.hawthornlb.core.model.InstanceId;
 
 /**
- * Says that a steward has left or is taken for lost.
+ * Tells the coordinator that a dispatcher has left or is considered lost.
  *
- * @param steward the steward
+ * @param dispatcher the dispatcher
  */
-public record DispatcherLost(InstanceId steward) implements JobEvent {}
+public record DispatcherLost(InstanceId dispatcher) implements JobEvent {}
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/job/DrainJobs.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/job/DrainJobs.java
@@ -1,4 +1,7 @@
 package io.hawthornlb.core.job;
 
-/** Asks to take and give out nothing new and to bring all outcomes into the log. */
+/**
+ * Tells the coordinator to accept no new jobs, to dispatch no further items, and to append all
+ * buffered outcomes to the log.
+ */
 public record DrainJobs() implements JobEvent {}
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/job/FailureKind.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/job/FailureKind.java
@@ -1,11 +1,11 @@
 package io.hawthornlb.core.job;
 
-/** What a failed attempt says about further ones. */
+/** Tells whether a failed attempt to run an item may be retried, and whether it counts. */
 public enum FailureKind {
-  /** The endpoint rejects the item as such; no other attempt can succeed. */
+  /** The endpoint rejected the item itself; no retry can succeed. */
   PERMANENT,
-  /** The attempt failed, and another one may succeed. */
+  /** The attempt failed; a retry may succeed. */
   TRANSIENT,
-  /** No endpoint had a byte of it; the attempt does not count. */
+  /** No endpoint received a byte of the item; the attempt does not count. */
   NOT_RUN
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/job/ItemAttempts.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/job/ItemAttempts.java
@@ -1,9 +1,9 @@
 package io.hawthornlb.core.job;
 
 /**
- * Counts the failed attempts of an item that is tried again.
+ * Number of failed attempts of an item that will be retried.
  *
- * @param index the item
- * @param attempts attempts that have failed so far
+ * @param index the index of the item in its job
+ * @param attempts the number of attempts that have failed so far
  */
 public record ItemAttempts(int index, int attempts) {}
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/job/ItemDispatch.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/job/ItemDispatch.java
@@ -5,16 +5,17 @@
 import java.time.Instant;
 
 /**
- * One item given to a steward.
+ * One item that the holder assigns to a dispatcher, with what the dispatcher needs to schedule it.
  *
  * @param job the job
  * @param workspace the workspace of the job
- * @param location where the item stands in the log
+ * @param location the position of the item in the log
  * @param submittedAt when the job was submitted
  * @param due when the job is due
- * @param remaining items of the job that have no outcome in the log, this one included
- * @param attempt how often it was tried before
- * @param atMostOnce whether it may not be sent again once an endpoint has had a byte of it
+ * @param remaining the number of items of the job without an outcome in the log, this item included
+ * @param attempt the number of failed attempts before this one
+ * @param atMostOnce whether the item must not be sent again once an endpoint has received a byte of
+ *     it
  */
 public record ItemDispatch(
     JobId job,
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/job/ItemOutcome.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/job/ItemOutcome.java
@@ -3,13 +3,14 @@
 import io.hawthornlb.core.util.Checks;
 
 /**
- * The end of one item.
+ * Final outcome of one item.
  *
- * @param index the item
- * @param customId the caller's name of the item, or empty where the writer did not read the item
- * @param status how it ended
- * @param cause why it failed; empty if it completed
- * @param result the body of the answer; empty if it failed
+ * @param index the index of the item in its job
+ * @param customId the id that the caller gave the item; empty if the writer of the outcome did not
+ *     read the item
+ * @param status whether the item completed or failed
+ * @param cause why the item failed; empty if it completed
+ * @param result the body of the endpoint's response; empty if the item failed
  */
 public record ItemOutcome(
     int index, String customId, ItemStatus status, String cause, String result) {
@@ -24,7 +25,7 @@
     return new ItemOutcome(index, customId, ItemStatus.COMPLETED, "", result);
   }
 
-  /** Returns the outcome of an item that can't be done. */
+  /** Returns the outcome of a failed item, which is not retried. */
   public static ItemOutcome failed(int index, String customId, String cause) {
     return new ItemOutcome(index, customId, ItemStatus.FAILED, cause, "");
   }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/job/ItemStatus.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/job/ItemStatus.java
@@ -1,9 +1,9 @@
 package io.hawthornlb.core.job;
 
-/** How an item ended. */
+/** Tells whether an item completed or failed. */
 public enum ItemStatus {
-  /** The endpoint gave its result. */
+  /** The endpoint returned a result for the item. */
   COMPLETED,
-  /** The item can't be done; the cause says why. */
+  /** The item has no result and is not retried; the cause of the outcome says why. */
   FAILED
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/job/ItemsCancelled.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/job/ItemsCancelled.java
@@ -5,10 +5,10 @@
 import java.util.List;
 
 /**
- * Tells a steward to cancel running items at their endpoints and to report nothing on them.
+ * Tells a dispatcher to cancel running items at their endpoints and to send no reports about them.
  *
  * @param job the job
- * @param items indexes of the items
+ * @param items the indexes of the items in the job
  */
 public record ItemsCancelled(JobId job, List<Integer> items) implements PeerMessage {
 
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/job/ItemsDispatched.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/job/ItemsDispatched.java
@@ -7,12 +7,12 @@
 import java.util.List;
 
 /**
- * Gives items to a steward, which reads them from the stream of the partition.
+ * Assigns items to a dispatcher, which reads their bodies from the stream of the partition.
  *
  * @param partition the partition
- * @param endpoint the endpoint of the question
- * @param service the service that runs them
- * @param items the items
+ * @param endpoint the endpoint that the dispatcher named in its {@link PullJobItems}
+ * @param service the service that runs the items
+ * @param items the assigned items; empty if none is available
  */
 public record ItemsDispatched(
     PartitionId partition, EndpointId endpoint, ServiceName service, List<ItemDispatch> items)
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/job/ItemsHeld.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/job/ItemsHeld.java
@@ -5,13 +5,15 @@
 import java.util.List;
 
 /**
- * Says which items a steward has in progress; sent every second and to each new holder.
+ * Lists the items that a dispatcher has in progress. A dispatcher sends the list every second and
+ * to each new holder.
  *
- * <p>A new holder adopts the items, so that they are not run again. Items that were given to the
- * steward and that it does not name twice in a row are given out anew.
+ * <p>A new holder adopts the listed items, so that they are not run again. An item that is assigned
+ * to the dispatcher and that its lists do not name for {@link JobSettings#dispatcherTimeout()}
+ * counts as lost.
  *
- * @param steward the steward
- * @param items what it has in progress for the partition
+ * @param steward the dispatcher
+ * @param items the items of the partition that the dispatcher has in progress
  */
 public record ItemsHeld(InstanceId steward, List<ItemKey> items) implements JobEvent, PeerMessage {
 
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/job/ItemsSettled.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/job/ItemsSettled.java
@@ -5,14 +5,14 @@
 import java.util.List;
 
 /**
- * Tells a steward that reports on items are durable or not wanted, so that it may forget them.
+ * Tells a dispatcher that the outcomes of items are durable or no longer needed, so that it can
+ * discard its reports.
  *
- * <p>A steward keeps each {@link ItemFinished} and {@link ItemFailed} until then, and sends it
- * again every second to whoever holds the partition; so a holder that dies takes no results with
- * it.
+ * <p>Until then, a dispatcher keeps each {@link ItemFinished} and {@link ItemFailed} and resends it
+ * every second to the current holder of the partition. So no result is lost when a holder dies.
  *
  * @param job the job
- * @param items indexes of the items
+ * @param items the indexes of the items in the job
  */
 public record ItemsSettled(JobId job, List<Integer> items) implements PeerMessage {
 
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/job/ItemsStarted.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/job/ItemsStarted.java
@@ -6,11 +6,12 @@
 import java.util.List;
 
 /**
- * The intent to execute items that may not be executed twice; stored before they are dispatched.
+ * Records the intent to execute items that must not be executed twice. The holder dispatches the
+ * items only after this record is stored.
  *
- * @param epoch the epoch of the holder
+ * @param epoch the epoch of the holder that wrote the record
  * @param job the job
- * @param items indexes of the items
+ * @param items the indexes of the items in the job
  */
 public record ItemsStarted(Epoch epoch, JobId job, List<Integer> items) implements PartitionRecord {
 
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/job/JobAccepted.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/job/JobAccepted.java
@@ -4,11 +4,12 @@
 import io.hawthornlb.core.partition.PartitionRecord;
 
 /**
- * Accepts a job whose chunks stand before it in the stream.
+ * Accepts a job whose chunks precede this record in the stream.
  *
- * <p>Void if a chunk is missing, if the counts differ, or if the job is known already.
+ * <p>The record is void if a chunk is missing, if the number of chunks or items differs from the
+ * header, or if the job was accepted before.
  *
- * @param epoch the epoch of the holder
- * @param header the job
+ * @param epoch the epoch of the holder that wrote the record
+ * @param header the fixed properties of the job
  */
 public record JobAccepted(Epoch epoch, JobHeader header) implements PartitionRecord {}
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/job/JobAnswer.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/job/JobAnswer.java
@@ -9,10 +9,10 @@
 /**
  * Answers a {@link SubmitJob} or {@link CancelJob}.
  *
- * @param request identifies the question
+ * @param request identifies the request that is answered
  * @param job the job
- * @param kind what became of it
- * @param refusal the reason, where it was refused
+ * @param kind the result of the request
+ * @param refusal the reason for a refusal; empty unless the request was refused
  */
 public record JobAnswer(RequestId request, JobId job, JobAnswerKind kind, Optional<Refusal> refusal)
     implements PeerMessage {}
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/job/JobAnswerKind.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/job/JobAnswerKind.java
@@ -1,15 +1,18 @@
 package io.hawthornlb.core.job;
 
-/** What became of a submission or cancellation. */
+/** Result of a submission or cancellation. */
 public enum JobAnswerKind {
-  /** The job is durable; a resend of a known job gets this too. */
+  /** The job is durable. The holder gives the same answer when a known job is submitted again. */
   ACCEPTED,
-  /** The cancellation is durable, or the job had been cancelled before. */
+  /** The cancellation is durable, or the job was already cancelled. */
   CANCELLED,
-  /** Every item had ended before the cancellation. */
+  /** Every item of the job ended before the cancellation. */
   ALREADY_ENDED,
-  /** This instance does not hold the partition; ask the holder of the current claim. */
+  /**
+   * This instance does not hold the partition; the request must go to the holder of the current
+   * claim.
+   */
   NOT_HOLDER,
-  /** Refused, with the reason. */
+  /** The request is refused; the answer carries the reason. */
   REFUSED
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/job/JobChunk.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/job/JobChunk.java
@@ -8,18 +8,20 @@
 import java.util.Optional;
 
 /**
- * Some items of a job, all of one service.
+ * Part of the items of a job, all for the same service.
  *
- * <p>Any instance may write it, so it has no epoch: it decides nothing until a {@link JobAccepted}
- * names its submission. The index of an item in its job is its place when the chunks of the
- * submission are read in the order of their indexes.
+ * <p>Any instance may write a chunk, so a chunk has no epoch; it has no effect until a {@link
+ * JobAccepted} names its submission. The items of a job are numbered from zero across the chunks of
+ * the submission, in the order of the chunk indexes.
  *
  * @param job the job
- * @param submission the upload that it belongs to; resends of the same job use others
- * @param index the place among the chunks of the submission, from zero
+ * @param submission the upload that the chunk belongs to; each resend of the same job is another
+ *     upload
+ * @param index the number of the chunk in the submission, from zero
  * @param service the service that runs the items
  * @param items the items
- * @param refreshOf the offset of the record that this one replaces before it expires
+ * @param refreshOf the offset of the record that this record replaces before the log drops it;
+ *     empty for an original record
  */
 public record JobChunk(
     JobId job,
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/job/JobContentHash.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/job/JobContentHash.java
@@ -4,7 +4,10 @@
 import io.hawthornlb.core.util.ContentDigest;
 import java.time.Instant;
 
-/** Hashes the content of a submission item by item, so that no entry holds a whole job. */
+/**
+ * Hashes the content of a submission item by item, so that an entry instance never needs a whole
+ * job in memory.
+ */
 public final class JobContentHash {
 
   private final ContentDigest digest = new ContentDigest();
@@ -23,7 +26,9 @@
     return this;
   }
 
-  /** Returns the hash of the items and the due time that the caller gave. */
+  /**
+   * Returns the hash of all added items and of the due time that the caller gave, in hexadecimal.
+   */
   public String hex(Instant due) {
     return digest.add(due.toString()).hex();
   }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/job/JobCoordinator.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/job/JobCoordinator.java
@@ -5,19 +5,23 @@
 import java.util.List;
 
 /**
- * Decides for the jobs of one partition while this instance holds it.
+ * Accepts, schedules and cancels the jobs of one partition while this instance holds the partition.
  *
- * <p>Deterministic and confined to one thread. While the instance does not hold the partition, it
- * answers callers with a redirection and hands out no item.
+ * <p>The coordinator is deterministic and confined to one thread. While the instance does not hold
+ * the partition, the coordinator answers submissions and cancellations with {@link
+ * JobAnswerKind#NOT_HOLDER} and dispatches no item.
  */
 public interface JobCoordinator {
 
-  /** Takes an event and returns what is to be done. */
+  /** Processes an event and returns the effects to carry out. */
   List<Effect> on(JobEvent event, Instant now);
 
-  /** Returns whether nothing is left that is not in the log; true for an instance that may stop. */
+  /**
+   * Returns whether the coordinator is draining and has nothing left to append or to answer, so
+   * that the instance may stop.
+   */
   boolean drained();
 
-  /** Returns the items that wait for a steward, by service. */
+  /** Returns the items that wait for a dispatcher, by service. */
   List<ServiceBacklog> backlog();
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/job/JobDirectory.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/job/JobDirectory.java
@@ -4,13 +4,13 @@
 import java.util.Collection;
 import java.util.Optional;
 
-/** The jobs of a partition as far as its stream has been folded. */
+/** Read access to the jobs of a partition, as of the last folded record of its stream. */
 public interface JobDirectory {
 
   /** Returns the state of a job, or empty if it is unknown or its results have expired. */
   Optional<JobStatus> status(JobId job);
 
-  /** Returns the jobs that are known. */
+  /** Returns the ids of all known jobs. */
   Collection<JobId> jobs();
 
   /**
@@ -22,6 +22,6 @@
    */
   ResultPage results(JobId job, int cursor, int maxSpans);
 
-  /** Returns where an item stands in the log. */
+  /** Returns the position of an item in the log, or empty if the job or the item is unknown. */
   Optional<ItemLocation> locate(JobId job, int index);
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/job/JobEvent.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/job/JobEvent.java
@@ -1,4 +1,4 @@
 package io.hawthornlb.core.job;
 
-/** What a job coordinator reacts to. */
+/** Marks an event that a {@link JobCoordinator} processes. */
 public interface JobEvent {}
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/job/JobIds.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/job/JobIds.java
@@ -8,14 +8,17 @@
 import io.hawthornlb.core.model.WorkspaceId;
 import io.hawthornlb.core.util.Checks;
 
-/** Derives the id of a job from its key, so that every instance gives a resend the same id. */
+/**
+ * Derives the id of a job from its workspace and idempotency key, so that every instance gives a
+ * resent job the same id.
+ */
 public final class JobIds {
 
   private static final String PREFIX = "job-";
 
   private JobIds() {}
 
-  /** Returns the id of the job that a workspace submits under a key. */
+  /** Returns the id of the job that a workspace submits with an idempotency key. */
   public static JobId of(WorkspaceId workspace, String idempotencyKey, int partitions) {
     String key = workspace.value() + '\n' + idempotencyKey;
     PartitionId partition = PartitionHash.partition(key, partitions);
@@ -26,14 +29,14 @@
   }
 
   /**
-   * Returns the partition that decides for a job.
+   * Returns the partition that a job belongs to.
    *
-   * @throws IllegalArgumentException if the id was not made here
+   * @throws IllegalArgumentException if the id was not created by {@link #of}
    */
   public static PartitionId partition(JobId job) {
     String[] parts = job.value().split("-", 3);
-    boolean made = parts.length == 3 && parts[1].matches("\\d{1,9}");
-    Checks.isTrue(made && job.value().startsWith(PREFIX), "no id of a job: " + job);
+    boolean wellFormed = parts.length == 3 && parts[1].matches("\\d{1,9}");
+    Checks.isTrue(wellFormed && job.value().startsWith(PREFIX), "not a job id: " + job);
     return new PartitionId(Integer.parseInt(parts[1]));
   }
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/job/JobOrder.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/job/JobOrder.java
@@ -3,13 +3,13 @@
 import java.time.Instant;
 import java.util.List;
 
-/** Chooses the job that gives out the next item. */
+/** Chooses the job whose item is dispatched next. */
 public interface JobOrder {
 
   /**
-   * Returns one of the candidates.
+   * Returns the chosen candidate.
    *
-   * @param candidates jobs with an item to give out; at least one
+   * @param candidates the jobs with an item that is ready to be dispatched; at least one
    * @param now the current time
    */
   JobCandidate next(List<JobCandidate> candidates, Instant now);
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/job/JobOutcomeGroup.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/job/JobOutcomeGroup.java
@@ -4,11 +4,11 @@
 import java.util.List;
 
 /**
- * Outcomes of one job in a group.
+ * Outcomes of one job in an {@link ItemOutcomes} record.
  *
  * @param job the job
- * @param outcomes items that ended
- * @param attempts items that failed and are tried again
+ * @param outcomes the outcomes of items that ended
+ * @param attempts the attempt counts of items that failed and will be retried
  */
 public record JobOutcomeGroup(JobId job, List<ItemOutcome> outcomes, List<ItemAttempts> attempts) {
 
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/job/JobPhase.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/job/JobPhase.java
@@ -1,11 +1,11 @@
 package io.hawthornlb.core.job;
 
-/** Where a job stands. */
+/** Phase of a job. */
 public enum JobPhase {
-  /** Items are still to be done. */
+  /** At least one item has no outcome yet. */
   RUNNING,
-  /** Every item has ended. */
+  /** Every item has an outcome. */
   ENDED,
-  /** The job was cancelled before every item had ended. */
+  /** The job was cancelled before every item had an outcome. */
   CANCELLED
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/job/JobSnapshot.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/job/JobSnapshot.java
@@ -7,21 +7,23 @@
 import java.util.Optional;
 
 /**
- * The state of one job, for readers that start after its first records have expired.
+ * State of one job, for readers that start after the log has dropped the first records of the job.
  *
- * <p>A reader that knows the job passes over it: what it folded is at least as new.
+ * <p>A reader that knows the job ignores the snapshot, because the state that the reader has folded
+ * is at least as new.
  *
- * @param epoch the epoch of the holder
- * @param asOf the last offset that the state covers
- * @param header the job
- * @param chunks where its items stand
- * @param ended a bit for each item that ended
- * @param failed a bit for each item that failed
- * @param started a bit for each item that was started, where items may not be executed twice
- * @param results where its results stand
- * @param attempts items that failed and are tried again
+ * @param epoch the epoch of the holder that wrote the record
+ * @param asOf the offset of the last record that the state covers
+ * @param header the fixed properties of the job
+ * @param chunks the positions of the job's items in the log
+ * @param ended a bit set with the bit of each item that ended
+ * @param failed a bit set with the bit of each item that failed
+ * @param started a bit set with the bit of each item that was started; used only if items must not
+ *     be executed twice
+ * @param results the positions of the job's results in the log
+ * @param attempts the attempt counts of items that failed and will be retried
  * @param endedAt when the job ended or was cancelled
- * @param cancelled whether it was cancelled
+ * @param cancelled whether the job was cancelled
  */
 public record JobSnapshot(
     Epoch epoch,
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/job/JobStatus.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/job/JobStatus.java
@@ -4,14 +4,14 @@
 import java.util.Optional;
 
 /**
- * The state of a job as callers see it.
+ * State of a job as callers see it.
  *
- * @param header what was submitted
- * @param phase where the job stands
- * @param completed items that ended with a result
- * @param failed items that ended without one
- * @param endedAt when it ended or was cancelled
- * @param readableUntil until when its results stay readable
+ * @param header the fixed properties of the job
+ * @param phase the phase of the job
+ * @param completed the number of items that ended with a result
+ * @param failed the number of items that ended without a result
+ * @param endedAt when the job ended or was cancelled; empty while it runs
+ * @param readableUntil until when the results stay readable; empty while the job runs
  */
 public record JobStatus(
     JobHeader header,
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/job/JobTick.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/job/JobTick.java
@@ -1,4 +1,4 @@
 package io.hawthornlb.core.job;
 
-/** Says that time has passed; sent several times a second. */
+/** Tells the coordinator to check its timeouts; sent several times a second. */
 public record JobTick() implements JobEvent {}
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/job/PartitionAdvanced.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/job/PartitionAdvanced.java
@@ -1,4 +1,4 @@
 package io.hawthornlb.core.job;
 
-/** Says that the fold of the partition has applied further records. */
+/** Tells the coordinator that the fold of the partition has applied further records. */
 public record PartitionAdvanced() implements JobEvent {}
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/job/PullJobItems.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/job/PullJobItems.java
@@ -7,14 +7,15 @@
 import io.hawthornlb.core.util.Checks;
 
 /**
- * Asks the holder for items.
+ * Asks the holder of a partition for items.
  *
- * <p>Answered by an {@link ItemsDispatched}, which is empty if there is none now. Items that may
- * not be executed twice come in further ones, once the log says that they are started.
+ * <p>The holder replies with an {@link ItemsDispatched}, which is empty if no item is available.
+ * Items that must not be executed twice are sent in messages of their own, once the log contains
+ * the record that they are started.
  *
- * @param steward the instance that will run them
- * @param endpoint the endpoint that will run them; given back with the items
- * @param service the service of its endpoint
+ * @param steward the instance that will run the items
+ * @param endpoint the endpoint that will run the items; the reply repeats it
+ * @param service the service of the endpoint
  * @param max the largest number of items
  */
 public record PullJobItems(InstanceId steward, EndpointId endpoint, ServiceName service, int max)
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/job/RecordReadBack.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/job/RecordReadBack.java
@@ -3,8 +3,8 @@
 import io.hawthornlb.core.log.LogRecord;
 
 /**
- * Hands over a record that was asked for by {@link RefreshRecord}.
+ * Delivers a record that the coordinator requested by {@link RefreshRecord}.
  *
- * @param entry the record as it stands in the stream
+ * @param entry the record as read from the stream
  */
 public record RecordReadBack(LogRecord entry) implements JobEvent {}
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/job/RefreshRecord.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/job/RefreshRecord.java
@@ -4,7 +4,8 @@
 import io.hawthornlb.core.log.StreamName;
 
 /**
- * Asks for a record to be read from the log and handed back as {@link RecordReadBack}.
+ * Requests that a record be read from the log and delivered to the coordinator as {@link
+ * RecordReadBack}.
  *
  * @param stream the stream
  * @param offset the offset of the record
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/job/ResultPage.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/job/ResultPage.java
@@ -4,10 +4,10 @@
 import java.util.Optional;
 
 /**
- * Some of the results of a job, in the order in which they were stored.
+ * One page of the results of a job, in the order in which they were stored.
  *
- * @param spans where they stand in the log
- * @param next the cursor of the next page, or empty if there is none yet
+ * @param spans the positions of the results in the log
+ * @param next the cursor of the next page, or empty if no further result is stored yet
  */
 public record ResultPage(List<ResultSpan> spans, Optional<Integer> next) {
 
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/job/ServiceBacklog.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/job/ServiceBacklog.java
@@ -4,10 +4,11 @@
 import java.time.Instant;
 
 /**
- * Items of one service that wait for a steward.
+ * Backlog of one service: the items that wait for a dispatcher.
  *
  * @param service the service
- * @param items a count of the jobs' open items, those of other services of the same jobs included
- * @param earliestDue the earliest due time among their jobs
+ * @param items the number of items without an outcome in the jobs that use the service; items of
+ *     other services in the same jobs are included
+ * @param earliestDue the earliest due time of these jobs
  */
 public record ServiceBacklog(ServiceName service, long items, Instant earliestDue) {}
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/job/SubmitJob.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/job/SubmitJob.java
@@ -5,14 +5,15 @@
 import io.hawthornlb.core.peer.PeerMessage;
 
 /**
- * Asks the holder to accept a job whose chunks have been appended.
+ * Asks the holder of a partition to accept a job whose chunks have been appended.
  *
- * <p>Answered by one {@link JobAnswer}.
+ * <p>The holder replies with one {@link JobAnswer}.
  *
- * @param replyTo the entry that asks
- * @param request identifies the question
- * @param header the job
- * @param firstSend whether nobody can have sent the key before, since an entry made it just now
+ * @param replyTo the entry instance that sends the request and receives the answer
+ * @param request identifies this request in the answer
+ * @param header the fixed properties of the job
+ * @param firstSend whether the idempotency key cannot have been sent before, because the entry
+ *     instance generated it for this submission
  */
 public record SubmitJob(InstanceId replyTo, RequestId request, JobHeader header, boolean firstSend)
     implements JobEvent, PeerMessage {}
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/job/package-info.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/job/package-info.java
@@ -1,4 +1,7 @@
-/** Batch jobs: their records, their state in the log, and the coordinator of a partition's jobs. */
+/**
+ * Batch jobs: the records of jobs in the log, the messages about jobs, and the interfaces of the
+ * coordinator that runs the jobs of a partition.
+ */
 @NullMarked
 package io.hawthornlb.core.job;
 
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/job/support/DefaultJobCoordinator.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/job/support/DefaultJobCoordinator.java
@@ -32,7 +32,10 @@
 import java.util.Objects;
 import org.jspecify.annotations.Nullable;
 
-/** The coordinator that every instance uses; one a partition that it holds or held. */
+/**
+ * The {@link JobCoordinator} in production use. An instance has one for each partition that it
+ * holds or has held.
+ */
 public final class DefaultJobCoordinator implements JobCoordinator {
 
   private final StreamName stream;
@@ -43,23 +46,23 @@
   private final ResentAppends appends;
   private final OutcomeBuffer buffer;
   private final ItemScheduler scheduler;
-  private final StartingItems starting;
-  private final JobQuestions questions;
+  private final ItemSender itemSender;
+  private final PendingJobRequests pendingRequests;
   private final JobMaintenance maintenance;
   private @Nullable Epoch epoch;
-  private long followedTo = -1;
+  private long foldedOffset = -1;
   private boolean draining;
 
   /**
-   * Creates the coordinator of a partition.
+   * Creates the coordinator of one partition.
    *
    * @param id the partition
-   * @param partition the fold of its stream
-   * @param jobs the jobs that this fold feeds
-   * @param held whether this instance decides for the partition
-   * @param ids numbers the records of this instance
-   * @param order chooses among jobs
-   * @param settings limits and times
+   * @param partition the fold of the partition's stream
+   * @param jobs the state of the jobs, which the fold of the stream updates
+   * @param held tells whether this instance holds the partition
+   * @param ids the source of the ids of the records that this instance appends
+   * @param order chooses the job whose item is dispatched next
+   * @param settings limits and timeouts
    */
   public DefaultJobCoordinator(
       PartitionId id,
@@ -77,8 +80,8 @@
     this.scheduler = new ItemScheduler(jobs, settings, order, buffer);
     this.jobs = jobs;
     this.appends = new ResentAppends();
-    this.starting = new StartingItems(id, jobs, scheduler, ids, appends);
-    this.questions = new JobQuestions(id, jobs, settings, ids, appends);
+    this.itemSender = new ItemSender(id, jobs, scheduler, ids, appends);
+    this.pendingRequests = new PendingJobRequests(id, jobs, settings, ids, appends);
     this.maintenance = new JobMaintenance(id, partition, jobs, settings, ids);
   }
 
@@ -102,7 +105,7 @@
 
   @Override
   public boolean drained() {
-    boolean done = epoch == null || buffer.empty() && questions.empty();
+    boolean done = epoch == null || buffer.empty() && pendingRequests.empty();
     return draining && done;
   }
 
@@ -116,8 +119,8 @@
     if (Objects.equals(current, epoch)) {
       return;
     }
-    questions.end(out);
-    starting.clear();
+    pendingRequests.end(out);
+    itemSender.clear();
     appends.clear();
     scheduler.end();
     epoch = current;
@@ -128,22 +131,22 @@
   }
 
   private void followLog(Epoch current, Instant now, List<Effect> out) {
-    if (partition.nextOffset() == followedTo) {
+    if (partition.nextOffset() == foldedOffset) {
       return;
     }
-    followedTo = partition.nextOffset();
+    foldedOffset = partition.nextOffset();
     scheduler.advance(out);
-    starting.advance(now, out);
-    questions.advance(current, now, out);
+    itemSender.advance(now, out);
+    pendingRequests.advance(current, now, out);
   }
 
   private void redirect(JobEvent event, List<Effect> out) {
     if (event instanceof SubmitJob submit) {
-      out.add(JobQuestions.notHolder(submit));
+      out.add(PendingJobRequests.notHolder(submit));
     } else if (event instanceof CancelJob cancel) {
-      out.add(JobQuestions.notHolder(cancel));
+      out.add(PendingJobRequests.notHolder(cancel));
     } else if (event instanceof PullJobItems pull) {
-      starting.sendNone(pull, out);
+      itemSender.sendNone(pull, out);
     }
   }
 
@@ -153,12 +156,12 @@
       return;
     }
     if (event instanceof SubmitJob submit) {
-      questions.submit(submit, current, now, out);
+      pendingRequests.submit(submit, current, now, out);
     } else if (event instanceof CancelJob cancel) {
       cancel(cancel, current, now, out);
     } else if (event instanceof PullJobItems pull) {
       List<ItemDispatch> items = scheduler.pull(pull, now);
-      starting.send(pull, items, current, now, out);
+      itemSender.send(pull, items, current, now, out);
     } else if (event instanceof ItemsHeld report) {
       scheduler.held(report, now, out);
     } else if (event instanceof ItemFinished report) {
@@ -166,8 +169,8 @@
     } else if (event instanceof ItemFailed report) {
       scheduler.failed(report, now, out);
     } else if (event instanceof DispatcherLost lost) {
-      starting.lost(lost.steward());
-      scheduler.lost(lost.steward(), now);
+      itemSender.dispatcherLost(lost.dispatcher());
+      scheduler.dispatcherLost(lost.dispatcher(), now);
     } else if (event instanceof RecordReadBack back) {
       maintenance.readBack(back.entry(), current, out);
     }
@@ -181,23 +184,23 @@
   }
 
   private void cancel(CancelJob event, Epoch current, Instant now, List<Effect> out) {
-    if (questions.cancel(event, current, now, out)) {
+    if (pendingRequests.cancel(event, current, now, out)) {
       scheduler.stop(event.job(), out);
     }
   }
 
   private void tick(Epoch current, Instant now, List<Effect> out) {
     scheduler.tick(now);
-    questions.tick(now, out);
+    pendingRequests.tick(now, out);
     maintenance.tick(current, now, out);
     appends.tick(now, out);
   }
 
   private void flush(Epoch current, Instant now, List<Effect> out) {
-    if (buffer.due(now) || draining && buffer.waits()) {
+    if (buffer.due(now) || draining && buffer.hasOutcomes()) {
       ItemOutcomes outcomes = buffer.flush(current);
       AppendRecord effect = new AppendRecord(stream, ids.next(), outcomes);
-      appends.add(effect, () -> OutcomeBuffer.seen(outcomes, jobs), now, out);
+      appends.add(effect, () -> OutcomeBuffer.folded(outcomes, jobs), now, out);
     }
   }
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/job/support/FairDeadlineJobOrder.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/job/support/FairDeadlineJobOrder.java
@@ -15,11 +15,12 @@
 import java.util.stream.Collectors;
 
 /**
- * Earliest deadline first with aging in a workspace, and equal turns among workspaces.
+ * Weighted fair scheduling among workspaces, and earliest deadline first with aging among the jobs
+ * of one workspace.
  *
- * <p>Every second turn goes to the earliest deadline of all jobs that are due within the urgent
- * window, whatever their workspace; so urgent jobs of one workspace take half of the turns at most
- * beyond its share.
+ * <p>Every second turn goes to the job with the earliest deadline among all jobs that are due
+ * within the urgent window, whatever their workspace. So the urgent jobs of one workspace take at
+ * most half of the turns beyond the share of that workspace.
  */
 public final class FairDeadlineJobOrder implements JobOrder {
 
@@ -31,10 +32,10 @@
   private boolean urgentTurn;
 
   /**
-   * Creates the order.
+   * Creates an order in which no workspace has had a turn yet.
    *
-   * @param urgentWindow how long before its due time a job is urgent
-   * @param weights the share of a workspace relative to others, above zero
+   * @param urgentWindow a job is urgent from this long before its due time
+   * @param weights returns the share of a workspace relative to other workspaces; above zero
    */
   public FairDeadlineJobOrder(Duration urgentWindow, ToDoubleFunction<WorkspaceId> weights) {
     this.urgentWindow = urgentWindow;
@@ -68,10 +69,11 @@
   }
 
   /**
-   * Returns the due time less a multiple of the time that the job has waited.
+   * Returns the due time of a job minus a multiple of the time that the job has waited.
    *
-   * <p>Without it a stream of new jobs with near due times holds up a job that is due later, for as
-   * long as they come. Each turn that passes a job by brings it nearer.
+   * <p>Without aging, a steady stream of new jobs with near due times starves a job that is due
+   * later. With aging, each turn that goes to another job moves the waiting job forward in the
+   * order.
    */
   private static Instant agedDue(JobCandidate job, Instant now) {
     Duration waited = Duration.between(job.waitingSince(), now);
@@ -95,7 +97,7 @@
     double floor = floor();
     Set<WorkspaceId> present =
         candidates.stream().map(JobCandidate::workspace).collect(Collectors.toSet());
-    // A workspace that was away must not be owed the turns that it had no use for.
+    // A workspace without jobs must not save up turns for the time when it has jobs again.
     virtualTimes.keySet().retainAll(present);
     present.forEach(id -> virtualTimes.putIfAbsent(id, floor));
     virtualTimes.merge(workspace, 1 / weights.applyAsDouble(workspace), Double::sum);
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/job/support/FirstComeJobOrder.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/job/support/FirstComeJobOrder.java
@@ -5,7 +5,10 @@
 import java.time.Instant;
 import java.util.List;
 
-/** Takes jobs in the order of their acceptance; the baseline of measurements. */
+/**
+ * First-come, first-served order by acceptance; the baseline that benchmarks and tests compare
+ * with.
+ */
 public final class FirstComeJobOrder implements JobOrder {
 
   @Override
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/job/support/ItemScheduler.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/job/support/ItemScheduler.java
@@ -32,7 +32,10 @@
 import java.util.function.Predicate;
 import org.jspecify.annotations.Nullable;
 
-/** Gives items of running jobs to stewards and takes their outcomes. */
+/**
+ * Assigns items of running jobs to dispatchers, and processes the reports of dispatchers about the
+ * items.
+ */
 final class ItemScheduler {
 
   private static final int MAX_BACKOFF_DOUBLINGS = 6;
@@ -44,9 +47,9 @@
   private final JobSettings settings;
   private final JobOrder order;
   private final OutcomeBuffer buffer;
-  private final Map<JobId, JobWork> works = new LinkedHashMap<>();
-  private final PriorityQueue<Delayed> delayed =
-      new PriorityQueue<>(Comparator.comparing(Delayed::until));
+  private final Map<JobId, RunningJob> runningJobs = new LinkedHashMap<>();
+  private final PriorityQueue<DelayedRetry> delayedRetries =
+      new PriorityQueue<>(Comparator.comparing(DelayedRetry::until));
   private Instant adoptUntil = Instant.MIN;
   private Instant sweptAt = Instant.MIN;
   private boolean adopting;
@@ -58,42 +61,49 @@
     this.buffer = buffer;
   }
 
-  /** Begins as the holder, or anew after a change of epoch. */
+  /**
+   * Starts scheduling when this instance becomes the holder, or when the epoch of its claim
+   * changes.
+   */
   void begin(Instant now) {
     end();
     for (JobState state : fold.states()) {
       if (state.running()) {
-        works.put(state.header().id(), new JobWork(state));
+        runningJobs.put(state.header().id(), new RunningJob(state));
       }
     }
-    // Stewards still run what an earlier holder gave them. Given out at once, all of that would run
-    // twice; so they are first asked what they hold.
-    adopting = !works.isEmpty();
+    // Dispatchers still run the items that an earlier holder assigned to them. If the new holder
+    // dispatched these items at once, all of them would run twice. So the new holder first waits
+    // for the dispatchers to report the items that they have in progress.
+    adopting = !runningJobs.isEmpty();
     adoptUntil = now.plus(settings.adoptionDelay());
   }
 
-  /** Forgets everything that is not in the log. */
+  /** Discards all state that is not in the log. */
   void end() {
-    works.clear();
-    delayed.clear();
+    runningJobs.clear();
+    delayedRetries.clear();
     buffer.clear();
     adopting = false;
   }
 
-  /** Follows the log: takes up accepted jobs and drops those that have ended. */
+  /**
+   * Applies progress of the log: adds jobs that were accepted, and removes jobs that have ended or
+   * expired.
+   */
   void advance(List<Effect> out) {
     for (JobState state : fold.states()) {
       if (state.running()) {
-        works.computeIfAbsent(state.header().id(), id -> new JobWork(state));
+        runningJobs.computeIfAbsent(state.header().id(), id -> new RunningJob(state));
       }
     }
-    works
+    runningJobs
         .values()
         .removeIf(
-            work -> {
-              boolean over = fold.state(work.header().id()) != work.state();
-              if (over || !work.state().running()) {
-                cancelAssigned(work, out);
+            runningJob -> {
+              boolean over = fold.state(runningJob.header().id()) != runningJob.state();
+              if (over || !runningJob.state().running()) {
+                cancelAssigned(runningJob, out);
                 return true;
               }
               return false;
@@ -101,23 +111,28 @@
     settle(buffer.advance(fold), out);
   }
 
-  List<ItemDispatch> pull(PullJobItems question, Instant now) {
+  /** Assigns up to the requested number of items to a dispatcher, and returns these items. */
+  List<ItemDispatch> pull(PullJobItems request, Instant now) {
     List<ItemDispatch> items = new ArrayList<>();
     int inFlight = inFlight();
     while (!adopting
         && !buffer.full()
-        && items.size() < question.max()
+        && items.size() < request.max()
         && inFlight + items.size() < settings.maxInFlight()) {
-      List<JobCandidate> candidates = candidates(question.service());
+      List<JobCandidate> candidates = candidates(request.service());
       if (candidates.isEmpty()) {
         break;
       }
-      JobWork work = works.get(order.next(candidates, now).job());
-      items.add(work.give(question.service(), question.steward(), now));
+      RunningJob runningJob = runningJobs.get(order.next(candidates, now).job());
+      items.add(runningJob.assignNext(request.service(), request.steward(), now));
     }
     return items;
   }
 
+  /**
+   * Renews the assignments of the items that a dispatcher has in progress, and cancels those items
+   * that the dispatcher should not run.
+   */
   void held(ItemsHeld report, Instant now, List<Effect> out) {
     Map<JobId, List<Integer>> unwanted = new LinkedHashMap<>();
     for (ItemKey item : report.items()) {
@@ -130,90 +145,93 @@
 
   void finished(ItemFinished report, Instant now, List<Effect> out) {
     settleEnded(report.steward(), report.item(), out);
-    JobWork work = works.get(report.item().job());
+    RunningJob runningJob = runningJobs.get(report.item().job());
     int index = report.item().index();
-    if (work != null && work.wanted(index)) {
+    if (runningJob != null && runningJob.needsOutcome(index)) {
       ItemOutcome outcome = ItemOutcome.completed(index, report.customId(), report.result());
-      endItem(work, outcome, report.steward(), now);
+      endItem(runningJob, outcome, report.steward(), now);
     }
   }
 
   void failed(ItemFailed report, Instant now, List<Effect> out) {
     settleEnded(report.steward(), report.item(), out);
-    JobWork work = works.get(report.item().job());
+    RunningJob runningJob = runningJobs.get(report.item().job());
     int index = report.item().index();
-    if (work == null || !work.wanted(index) || !holds(work, index, report.steward())) {
+    if (runningJob == null
+        || !runningJob.needsOutcome(index)
+        || !holds(runningJob, index, report.steward())) {
       return;
     }
-    boolean last = report.kind() == FailureKind.PERMANENT || work.header().atMostOnce();
+    boolean last = report.kind() == FailureKind.PERMANENT || runningJob.header().atMostOnce();
     if (report.kind() == FailureKind.NOT_RUN) {
-      work.giveBack(index);
+      runningJob.release(index);
     } else if (last) {
       ItemOutcome outcome = ItemOutcome.failed(index, report.customId(), report.cause());
-      endItem(work, outcome, report.steward(), now);
+      endItem(runningJob, outcome, report.steward(), now);
     } else {
-      retry(work, index, report.customId(), report.cause(), now);
+      retry(runningJob, index, report.customId(), report.cause(), now);
     }
   }
 
-  /** Returns whether a steward still has an item that was given to it. */
-  boolean assigned(ItemKey item, InstanceId steward) {
-    JobWork work = works.get(item.job());
-    return work != null && holds(work, item.index(), steward);
+  /** Returns whether an item is still assigned to a dispatcher. */
+  boolean assigned(ItemKey item, InstanceId dispatcher) {
+    RunningJob runningJob = runningJobs.get(item.job());
+    return runningJob != null && holds(runningJob, item.index(), dispatcher);
   }
 
-  /** Notes that an item has been sent to its steward. */
-  void sent(ItemKey item, InstanceId steward, Instant now) {
-    JobWork work = works.get(item.job());
-    if (work != null) {
-      work.assign(item.index(), steward, now);
+  /** Records that an item has been sent to its dispatcher. */
+  void sent(ItemKey item, InstanceId dispatcher, Instant now) {
+    RunningJob runningJob = runningJobs.get(item.job());
+    if (runningJob != null) {
+      runningJob.assign(item.index(), dispatcher, now);
     }
   }
 
-  /** Takes back an item that was given to a steward and never sent. */
+  /** Releases an item that was assigned to a dispatcher but never sent. */
   void takeBack(ItemKey item) {
-    JobWork work = works.get(item.job());
-    if (work != null) {
-      work.giveBack(item.index());
+    RunningJob runningJob = runningJobs.get(item.job());
+    if (runningJob != null) {
+      runningJob.release(item.index());
     }
   }
 
-  void lost(InstanceId steward, Instant now) {
-    loseWhere(assignment -> assignment.steward().equals(steward), now);
+  void dispatcherLost(InstanceId dispatcher, Instant now) {
+    loseItems(assignment -> assignment.dispatcher().equals(dispatcher), now);
   }
 
-  /** Stops a job before its cancellation is durable. */
+  /** Stops a job at once, before its cancellation is durable. */
   void stop(JobId job, List<Effect> out) {
-    JobWork work = works.get(job);
-    if (work != null) {
-      cancelAssigned(work, out);
-      work.stop();
+    RunningJob runningJob = runningJobs.get(job);
+    if (runningJob != null) {
+      cancelAssigned(runningJob, out);
+      runningJob.stop();
     }
   }
 
   void tick(Instant now) {
-    while (!delayed.isEmpty() && !delayed.peek().until().isAfter(now)) {
-      Delayed item = delayed.poll();
-      item.work().giveBack(item.index());
+    while (!delayedRetries.isEmpty() && !delayedRetries.peek().until().isAfter(now)) {
+      DelayedRetry item = delayedRetries.poll();
+      item.runningJob().release(item.index());
     }
     if (adopting && !adoptUntil.isAfter(now)) {
       adopting = false;
-      works.values().forEach(work -> endStarted(work, now));
+      runningJobs.values().forEach(runningJob -> endStarted(runningJob, now));
     }
     if (!sweptAt.plus(SWEEP_INTERVAL).isAfter(now)) {
       sweptAt = now;
-      Instant oldest = now.minus(settings.stewardTimeout());
-      loseWhere(assignment -> assignment.confirmedAt().isBefore(oldest), now);
+      Instant oldest = now.minus(settings.dispatcherTimeout());
+      loseItems(assignment -> assignment.confirmedAt().isBefore(oldest), now);
     }
   }
 
   List<ServiceBacklog> backlog() {
     Map<ServiceName, ServiceBacklog> backlog = new TreeMap<>();
-    for (JobWork work : works.values()) {
-      for (ServiceName service : work.services()) {
-        if (work.gives(service)) {
+    for (RunningJob runningJob : runningJobs.values()) {
+      for (ServiceName service : runningJob.services()) {
+        if (runningJob.hasFreeItem(service)) {
           ServiceBacklog own =
-              new ServiceBacklog(service, work.state().openItems(), work.header().due());
+              new ServiceBacklog(
+                  service, runningJob.state().openItems(), runningJob.header().due());
           backlog.merge(service, own, ItemScheduler::add);
         }
       }
@@ -228,79 +246,85 @@
   }
 
   private List<JobCandidate> candidates(ServiceName service) {
-    return works.values().stream()
-        .filter(work -> work.gives(service))
-        .map(JobWork::candidate)
+    return runningJobs.values().stream()
+        .filter(runningJob -> runningJob.hasFreeItem(service))
+        .map(RunningJob::candidate)
         .toList();
   }
 
   private int inFlight() {
-    return delayed.size()
-        + works.values().stream().mapToInt(work -> work.assignments().size()).sum();
+    return delayedRetries.size()
+        + runningJobs.values().stream()
+            .mapToInt(runningJob -> runningJob.assignments().size())
+            .sum();
   }
 
-  private boolean confirm(ItemKey item, InstanceId steward, Instant now) {
-    JobWork work = works.get(item.job());
-    if (work == null || !work.wanted(item.index())) {
+  private boolean confirm(ItemKey item, InstanceId dispatcher, Instant now) {
+    RunningJob runningJob = runningJobs.get(item.job());
+    if (runningJob == null || !runningJob.needsOutcome(item.index())) {
       return false;
     }
-    boolean own = holds(work, item.index(), steward);
-    boolean adoptable = work.free(item.index()) && (adopting || !work.header().atMostOnce());
+    boolean own = holds(runningJob, item.index(), dispatcher);
+    boolean adoptable =
+        runningJob.free(item.index()) && (adopting || !runningJob.header().atMostOnce());
     if (own || adoptable) {
-      work.assign(item.index(), steward, now);
+      runningJob.assign(item.index(), dispatcher, now);
     }
     return own || adoptable;
   }
 
-  private static boolean holds(JobWork work, int index, InstanceId steward) {
-    JobWork.Assignment assignment = work.assignment(index);
-    return assignment != null && assignment.steward().equals(steward);
+  private static boolean holds(RunningJob runningJob, int index, InstanceId dispatcher) {
+    RunningJob.Assignment assignment = runningJob.assignment(index);
+    return assignment != null && assignment.dispatcher().equals(dispatcher);
   }
 
-  private void loseWhere(Predicate<JobWork.Assignment> condition, Instant now) {
-    for (JobWork work : works.values()) {
+  private void loseItems(Predicate<RunningJob.Assignment> condition, Instant now) {
+    for (RunningJob runningJob : runningJobs.values()) {
       List<Integer> items =
-          work.assignments().entrySet().stream()
+          runningJob.assignments().entrySet().stream()
               .filter(entry -> condition.test(entry.getValue()))
               .map(Map.Entry::getKey)
               .toList();
-      items.forEach(index -> loseItem(work, index, now));
+      items.forEach(index -> loseItem(runningJob, index, now));
     }
   }
 
-  private void loseItem(JobWork work, int index, Instant now) {
-    if (work.header().atMostOnce()) {
-      endItem(work, ItemOutcome.failed(index, "", MAY_HAVE_RUN), null, now);
+  private void loseItem(RunningJob runningJob, int index, Instant now) {
+    if (runningJob.header().atMostOnce()) {
+      endItem(runningJob, ItemOutcome.failed(index, "", MAY_HAVE_RUN), null, now);
     } else {
-      retry(work, index, "", "the instance that ran the item was lost", now);
+      retry(runningJob, index, "", "the instance that ran the item was lost", now);
     }
   }
 
-  private void retry(JobWork work, int index, String customId, String cause, Instant now) {
-    int attempts = work.countAttempt(index);
+  private void retry(RunningJob runningJob, int index, String customId, String cause, Instant now) {
+    int attempts = runningJob.countAttempt(index);
     if (attempts >= settings.maxAttempts()) {
-      String why = "failed " + attempts + " times, last: " + cause;
-      endItem(work, ItemOutcome.failed(index, customId, why), null, now);
+      String finalCause = "failed " + attempts + " times, last: " + cause;
+      endItem(runningJob, ItemOutcome.failed(index, customId, finalCause), null, now);
       return;
     }
     int doublings = Math.min(attempts - 1, MAX_BACKOFF_DOUBLINGS);
-    work.withhold(index);
-    delayed.add(
-        new Delayed(now.plus(settings.retryDelay().multipliedBy(1L << doublings)), work, index));
-    buffer.add(work.header().id(), new ItemAttempts(index, attempts), now);
+    runningJob.withhold(index);
+    delayedRetries.add(
+        new DelayedRetry(
+            now.plus(settings.retryDelay().multipliedBy(1L << doublings)), runningJob, index));
+    buffer.add(runningJob.header().id(), new ItemAttempts(index, attempts), now);
   }
 
   private void endItem(
-      JobWork work, ItemOutcome outcome, @Nullable InstanceId steward, Instant now) {
-    work.end(outcome.index());
-    buffer.add(work.header().id(), outcome, steward, now);
+      RunningJob runningJob, ItemOutcome outcome, @Nullable InstanceId dispatcher, Instant now) {
+    runningJob.end(outcome.index());
+    buffer.add(runningJob.header().id(), outcome, dispatcher, now);
   }
 
-  /** Answers a report on an item whose end is durable, or whose job is over or unknown. */
-  private void settleEnded(InstanceId steward, ItemKey item, List<Effect> out) {
+  /**
+   * Answers a report about an item whose outcome is durable, or whose job has ended or is unknown.
+   */
+  private void settleEnded(InstanceId dispatcher, ItemKey item, List<Effect> out) {
     JobState state = fold.state(item.job());
     if (state == null || !state.open(item.index())) {
-      settle(List.of(new OutcomeBuffer.Report(steward, item)), out);
+      settle(List.of(new OutcomeBuffer.Report(dispatcher, item)), out);
     }
   }
 
@@ -308,40 +332,43 @@
     Map<InstanceId, Map<JobId, List<Integer>>> byJob = new TreeMap<>();
     for (OutcomeBuffer.Report report : reports) {
       byJob
-          .computeIfAbsent(report.steward(), steward -> new LinkedHashMap<>())
+          .computeIfAbsent(report.dispatcher(), dispatcher -> new LinkedHashMap<>())
           .computeIfAbsent(report.item().job(), job -> new ArrayList<>())
           .add(report.item().index());
     }
     byJob.forEach(
-        (steward, jobs) ->
+        (dispatcher, jobs) ->
             jobs.forEach(
                 (job, items) ->
-                    out.add(new SendPeerMessage(steward, new ItemsSettled(job, items)))));
+                    out.add(new SendPeerMessage(dispatcher, new ItemsSettled(job, items)))));
   }
 
-  private void endStarted(JobWork work, Instant now) {
-    if (!work.header().atMostOnce()) {
+  private void endStarted(RunningJob runningJob, Instant now) {
+    if (!runningJob.header().atMostOnce()) {
       return;
     }
-    for (int index = 0; index < work.header().items(); index++) {
-      if (work.state().started(index) && work.free(index)) {
-        endItem(work, ItemOutcome.failed(index, "", MAY_HAVE_RUN), null, now);
+    for (int index = 0; index < runningJob.header().items(); index++) {
+      if (runningJob.state().started(index) && runningJob.free(index)) {
+        endItem(runningJob, ItemOutcome.failed(index, "", MAY_HAVE_RUN), null, now);
       }
     }
   }
 
-  private static void cancelAssigned(JobWork work, List<Effect> out) {
+  private static void cancelAssigned(RunningJob runningJob, List<Effect> out) {
     Map<InstanceId, List<Integer>> items = new TreeMap<>();
-    work.assignments()
+    runningJob
+        .assignments()
         .forEach(
             (index, assignment) ->
-                items.computeIfAbsent(assignment.steward(), key -> new ArrayList<>()).add(index));
-    items.forEach((steward, own) -> out.add(cancel(steward, work.header().id(), own)));
+                items
+                    .computeIfAbsent(assignment.dispatcher(), key -> new ArrayList<>())
+                    .add(index));
+    items.forEach((dispatcher, own) -> out.add(cancel(dispatcher, runningJob.header().id(), own)));
   }
 
-  private static Effect cancel(InstanceId steward, JobId job, List<Integer> items) {
-    return new SendPeerMessage(steward, new ItemsCancelled(job, items));
+  private static Effect cancel(InstanceId dispatcher, JobId job, List<Integer> items) {
+    return new SendPeerMessage(dispatcher, new ItemsCancelled(job, items));
   }
 
-  private record Delayed(Instant until, JobWork work, int index) {}
+  private record DelayedRetry(Instant until, RunningJob runningJob, int index) {}
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/job/support/StartingItems.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/job/support/ItemSender.java
@@ -22,22 +22,22 @@
 import java.util.stream.Collectors;
 
 /**
- * Sends items to stewards; those that may not be executed twice only after the log says that they
- * are started.
+ * Sends assigned items to dispatchers. Items that must not be executed twice are sent only after
+ * the log contains the record that they are started.
  *
- * <p>Otherwise a holder that dies after it has sent an item leaves a successor that can't know, and
- * would send it again.
+ * <p>Without that record, the successor of a holder that died after it had sent an item could not
+ * know that the item was sent, and would send the item again.
  */
-final class StartingItems {
+final class ItemSender {
 
   private final PartitionId partition;
   private final JobFold fold;
   private final ItemScheduler scheduler;
   private final RecordIdSource ids;
   private final ResentAppends appends;
-  private final List<Batch> waiting = new ArrayList<>();
+  private final List<Batch> awaitingStart = new ArrayList<>();
 
-  StartingItems(
+  ItemSender(
       PartitionId partition,
       JobFold fold,
       ItemScheduler scheduler,
@@ -51,15 +51,15 @@
   }
 
   void clear() {
-    waiting.clear();
+    awaitingStart.clear();
   }
 
   void send(
-      PullJobItems question, List<ItemDispatch> items, Epoch epoch, Instant now, List<Effect> out) {
+      PullJobItems request, List<ItemDispatch> items, Epoch epoch, Instant now, List<Effect> out) {
     Map<Boolean, List<ItemDispatch>> parts =
         items.stream().collect(Collectors.partitioningBy(ItemDispatch::atMostOnce));
     if (items.isEmpty() || !parts.get(false).isEmpty()) {
-      dispatch(question, parts.get(false), out);
+      dispatch(request, parts.get(false), out);
     }
     Map<JobId, List<ItemDispatch>> byJob =
         parts.get(true).stream().collect(Collectors.groupingBy(ItemDispatch::job));
@@ -72,18 +72,18 @@
                   ids.next(),
                   new ItemsStarted(epoch, job, indexes));
           appends.add(effect, () -> settled(job, indexes), now, out);
-          waiting.add(new Batch(question, own));
+          awaitingStart.add(new Batch(request, own));
         });
   }
 
-  /** Answers that there is nothing here. */
-  void sendNone(PullJobItems question, List<Effect> out) {
-    dispatch(question, List.of(), out);
+  /** Answers a pull with an empty list of items. */
+  void sendNone(PullJobItems request, List<Effect> out) {
+    dispatch(request, List.of(), out);
   }
 
-  /** Sends what the log has confirmed since. */
+  /** Sends the items whose start the log has confirmed since the last call. */
   void advance(Instant now, List<Effect> out) {
-    waiting.removeIf(
+    awaitingStart.removeIf(
         batch -> {
           JobState state = fold.state(batch.items().get(0).job());
           if (state == null || !state.running()) {
@@ -98,11 +98,11 @@
         });
   }
 
-  /** Takes back what a lost steward was to get. */
-  void lost(InstanceId steward) {
-    waiting.removeIf(
+  /** Releases the items that are waiting to be sent to a lost dispatcher. */
+  void dispatcherLost(InstanceId dispatcher) {
+    awaitingStart.removeIf(
         batch -> {
-          boolean own = batch.question().steward().equals(steward);
+          boolean own = batch.request().steward().equals(dispatcher);
           if (own) {
             batch.items().forEach(item -> scheduler.takeBack(key(item)));
           }
@@ -116,13 +116,13 @@
   }
 
   private void sendStarted(Batch batch, Instant now, List<Effect> out) {
-    InstanceId steward = batch.question().steward();
-    // A job that was stopped in between has no item with a steward any more.
+    InstanceId dispatcher = batch.request().steward();
+    // If the job was stopped in the meantime, its items are no longer assigned to the dispatcher.
     List<ItemDispatch> items =
-        batch.items().stream().filter(item -> scheduler.assigned(key(item), steward)).toList();
-    items.forEach(item -> scheduler.sent(key(item), steward, now));
+        batch.items().stream().filter(item -> scheduler.assigned(key(item), dispatcher)).toList();
+    items.forEach(item -> scheduler.sent(key(item), dispatcher, now));
     if (!items.isEmpty()) {
-      dispatch(batch.question(), items, out);
+      dispatch(batch.request(), items, out);
     }
   }
 
@@ -130,11 +130,11 @@
     return new ItemKey(item.job(), item.location().index());
   }
 
-  private void dispatch(PullJobItems question, List<ItemDispatch> items, List<Effect> out) {
+  private void dispatch(PullJobItems request, List<ItemDispatch> items, List<Effect> out) {
     ItemsDispatched message =
-        new ItemsDispatched(partition, question.endpoint(), question.service(), items);
-    out.add(new SendPeerMessage(question.steward(), message));
+        new ItemsDispatched(partition, request.endpoint(), request.service(), items);
+    out.add(new SendPeerMessage(request.steward(), message));
   }
 
-  private record Batch(PullJobItems question, List<ItemDispatch> items) {}
+  private record Batch(PullJobItems request, List<ItemDispatch> items) {}
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/job/support/ItemState.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/job/support/ItemState.java
@@ -1,6 +1,6 @@
 package io.hawthornlb.core.job.support;
 
-/** Where an item stands with the holder of its partition; see {@code item.yaml}. */
+/** State of an item of a running job at the holder of its partition; see {@code item.yaml}. */
 enum ItemState {
   FREE,
   ASSIGNED,
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/job/support/ItemStep.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/job/support/ItemStep.java
@@ -1,13 +1,13 @@
 package io.hawthornlb.core.job.support;
 
-/** What happens to an item; see {@code item.yaml}. */
+/** Event in the life of an item of a running job; see {@code item.yaml}. */
 enum ItemStep {
-  /** A steward has it. */
-  GIVEN,
-  /** It was taken from its steward and must not be given out yet. */
+  /** The item is assigned to a dispatcher. */
+  ASSIGNED,
+  /** The item is taken from its dispatcher and must not be assigned again yet. */
   WITHHELD,
-  /** It may be given out again. */
-  GIVEN_BACK,
-  /** It has an outcome. */
+  /** The item may be assigned again. */
+  RELEASED,
+  /** The item has an outcome. */
   ENDED
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/job/support/JobFold.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/job/support/JobFold.java
@@ -29,28 +29,29 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The jobs of a partition.
+ * State of the jobs of a partition, built from the records of its stream.
  *
- * <p>Bodies of items and results stay in the log; memory holds two bits an item and offsets.
+ * <p>The bodies of items and results stay in the log. Memory holds two bits for each item, and the
+ * offsets of item and result records.
  */
 public final class JobFold implements PartitionSection, JobDirectory {
 
   private static final Duration EXPIRY_INTERVAL = Duration.ofMinutes(1);
 
   private final Map<JobId, JobState> jobs = new LinkedHashMap<>();
-  private final Uploads uploads = new Uploads();
-  private final EarlyRecords early;
+  private final PendingUploads uploads = new PendingUploads();
+  private final RecordsAwaitingSnapshot awaitingSnapshot;
   private Instant expiredAt = Instant.EPOCH;
   private long firstOpenedAt = -1;
 
   /**
-   * Creates the state without jobs.
+   * Creates a state without jobs.
    *
-   * @param wholeStream whether the first record of the stream will be applied; if not, records of
-   *     jobs that are not known wait for the snapshots of these jobs
+   * @param wholeStream whether the fold starts with the first record of the stream; if not, records
+   *     of unknown jobs are kept until the snapshots of these jobs arrive
    */
   public JobFold(boolean wholeStream) {
-    this.early = new EarlyRecords(!wholeStream);
+    this.awaitingSnapshot = new RecordsAwaitingSnapshot(!wholeStream);
   }
 
   @Override
@@ -63,15 +64,15 @@
     } else if (entry.body() instanceof ItemOutcomes outcomes) {
       endItems(outcomes, entry);
     } else if (entry.body() instanceof ItemsStarted items) {
-      change(items.job(), entry);
+      update(items.job(), entry);
     } else if (entry.body() instanceof JobCancelled cancelled) {
-      change(cancelled.job(), entry);
+      update(cancelled.job(), entry);
     } else if (entry.body() instanceof JobSnapshot snapshot) {
       adopt(snapshot, entry.offset());
     } else if (entry.body() instanceof PartitionOpened) {
       firstOpenedAt = firstOpenedAt < 0 ? entry.offset() : firstOpenedAt;
     } else if (entry.body() instanceof SnapshotCompleted end && end.openedAt() >= firstOpenedAt) {
-      early.close();
+      awaitingSnapshot.close();
     }
   }
 
@@ -102,7 +103,7 @@
     return exists ? Optional.of(state.locate(index)) : Optional.empty();
   }
 
-  /** Returns whether every chunk of a submission stands in the stream. */
+  /** Returns whether the stream contains every chunk of a submission. */
   boolean uploaded(JobHeader header) {
     return !uploads.chunks(header).isEmpty();
   }
@@ -119,7 +120,7 @@
     if (chunk.refreshOf().isEmpty()) {
       uploads.add(chunk, entry.offset(), entry.appendedAt());
     } else {
-      change(chunk.job(), entry);
+      update(chunk.job(), entry);
     }
   }
 
@@ -136,25 +137,26 @@
       JobOutcomeGroup group = outcomes.groups().get(i);
       JobState state = jobs.get(group.job());
       if (state == null) {
-        early.keep(group.job(), entry);
+        awaitingSnapshot.add(group.job(), entry);
       } else {
         endItems(state, outcomes, i, entry);
       }
     }
   }
 
-  private void endItems(JobState state, ItemOutcomes outcomes, int place, LogRecord entry) {
+  private void endItems(JobState state, ItemOutcomes outcomes, int groupIndex, LogRecord entry) {
     if (outcomes.refreshOf().isPresent()) {
-      state.moveResults(outcomes.refreshOf().get(), place, entry.offset());
+      state.moveResults(outcomes.refreshOf().get(), groupIndex, entry.offset());
     } else {
-      state.apply(outcomes.groups().get(place), entry.offset(), place, entry.appendedAt());
+      state.apply(
+          outcomes.groups().get(groupIndex), entry.offset(), groupIndex, entry.appendedAt());
     }
   }
 
-  private void change(JobId job, LogRecord entry) {
+  private void update(JobId job, LogRecord entry) {
     JobState state = jobs.get(job);
     if (state == null) {
-      early.keep(job, entry);
+      awaitingSnapshot.add(job, entry);
     } else if (entry.body() instanceof ItemsStarted items) {
       state.start(items.items());
     } else if (entry.body() instanceof JobCancelled) {
@@ -168,15 +170,15 @@
     JobId job = snapshot.header().id();
     JobState known = jobs.get(job);
     if (known != null) {
-      known.snapshotSeen(offset);
+      known.snapshotFolded(offset);
     }
-    if (known != null || !early.open()) {
+    if (known != null || !awaitingSnapshot.open()) {
       return;
     }
     JobState adopted = new JobState(snapshot);
-    adopted.snapshotSeen(offset);
+    adopted.snapshotFolded(offset);
     jobs.put(job, adopted);
-    for (LogRecord entry : early.take(job, snapshot.asOf())) {
+    for (LogRecord entry : awaitingSnapshot.take(job, snapshot.asOf())) {
       replay(job, entry);
     }
   }
@@ -189,7 +191,7 @@
         }
       }
     } else {
-      change(job, entry);
+      update(job, entry);
     }
   }
 
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/job/support/JobMaintenance.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/job/support/JobMaintenance.java
@@ -27,11 +27,11 @@
 import java.util.Set;
 
 /**
- * Keeps the state of jobs readable for longer than the platform keeps records.
+ * Keeps the state of jobs readable for longer than the platform keeps the records of the log.
  *
- * <p>A repeated opening of the partition begins a round: each job's state is appended as a
- * snapshot. Records with items and results that are still needed are appended again once they reach
- * half of the retention.
+ * <p>When the opening record of the partition is repeated, a round of snapshots begins: the state
+ * of each job is appended as a snapshot. Records with items and results that are still needed are
+ * appended again when their age reaches half of the log retention.
  */
 final class JobMaintenance {
 
@@ -45,10 +45,10 @@
   private final JobFold jobs;
   private final RecordIdSource ids;
   private final Duration refreshAge;
-  private final Deque<JobId> toSnapshot = new ArrayDeque<>();
-  private final Set<JobId> unseen = new HashSet<>();
+  private final Deque<JobId> snapshotsToWrite = new ArrayDeque<>();
+  private final Set<JobId> snapshotsToConfirm = new HashSet<>();
   private final Map<Long, Instant> refreshing = new HashMap<>();
-  private long roundAt = -1;
+  private long roundOpenedAt = -1;
   private boolean inRound;
   private Instant scannedAt = Instant.MIN;
 
@@ -65,28 +65,31 @@
     this.refreshAge = settings.logRetention().dividedBy(2);
   }
 
-  /** Begins as the holder; the opening of the epoch itself begins no round. */
+  /**
+   * Starts maintenance when this instance becomes the holder. The opening record that starts the
+   * epoch does not begin a round; only its repetitions do.
+   */
   void begin() {
-    toSnapshot.clear();
-    unseen.clear();
+    snapshotsToWrite.clear();
+    snapshotsToConfirm.clear();
     refreshing.clear();
     inRound = false;
-    roundAt = partition.openedAt();
+    roundOpenedAt = partition.openedAt();
   }
 
   void tick(Epoch epoch, Instant now, List<Effect> out) {
-    if (partition.openedAt() != roundAt) {
-      roundAt = partition.openedAt();
+    if (partition.openedAt() != roundOpenedAt) {
+      roundOpenedAt = partition.openedAt();
       inRound = true;
-      toSnapshot.clear();
-      unseen.clear();
-      toSnapshot.addAll(jobs.jobs());
+      snapshotsToWrite.clear();
+      snapshotsToConfirm.clear();
+      snapshotsToWrite.addAll(jobs.jobs());
     }
     continueRound(epoch, out);
     scan(now, out);
   }
 
-  /** Appends a record again that has been read back. */
+  /** Appends a record again after it was read back from the log. */
   void readBack(LogRecord entry, Epoch epoch, List<Effect> out) {
     if (refreshing.containsKey(entry.offset())) {
       refreshed(entry.body(), epoch, entry.offset())
@@ -95,27 +98,28 @@
   }
 
   private void continueRound(Epoch epoch, List<Effect> out) {
-    for (int i = 0; i < SNAPSHOTS_PER_TICK && !toSnapshot.isEmpty(); i++) {
-      JobState state = jobs.state(toSnapshot.removeFirst());
+    for (int i = 0; i < SNAPSHOTS_PER_TICK && !snapshotsToWrite.isEmpty(); i++) {
+      JobState state = jobs.state(snapshotsToWrite.removeFirst());
       if (state != null) {
-        unseen.add(state.header().id());
+        snapshotsToConfirm.add(state.header().id());
         RecordBody snapshot = state.snapshot(epoch, partition.nextOffset() - 1);
         out.add(new AppendRecord(stream, ids.next(), snapshot));
       }
     }
-    // The end of the round says that its snapshots stand before it. Appends of one writer may
-    // change
-    // places when an answer is lost; a reader would take the state for whole without the late ones.
-    unseen.removeIf(this::snapshotSeen);
-    if (inRound && toSnapshot.isEmpty() && unseen.isEmpty()) {
+    // The record that ends the round promises that all snapshots of the round precede it. When the
+    // answer to an append is lost, appends of one writer may change order, and a reader would
+    // consider its state complete without the late snapshots. So the round ends only after all its
+    // snapshots were folded.
+    snapshotsToConfirm.removeIf(this::snapshotFolded);
+    if (inRound && snapshotsToWrite.isEmpty() && snapshotsToConfirm.isEmpty()) {
       inRound = false;
-      out.add(new AppendRecord(stream, ids.next(), new SnapshotCompleted(epoch, roundAt)));
+      out.add(new AppendRecord(stream, ids.next(), new SnapshotCompleted(epoch, roundOpenedAt)));
     }
   }
 
-  private boolean snapshotSeen(JobId job) {
+  private boolean snapshotFolded(JobId job) {
     JobState state = jobs.state(job);
-    return state == null || state.snapshotAt() > roundAt;
+    return state == null || state.snapshotAt() > roundOpenedAt;
   }
 
   private void scan(Instant now, List<Effect> out) {
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/job/support/JobState.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/job/support/JobState.java
@@ -31,7 +31,9 @@
 import java.util.stream.Stream;
 import org.jspecify.annotations.Nullable;
 
-/** State of one job: two bits an item, and offsets of its chunks and results. */
+/**
+ * State of one job: two bits for each item, and the offsets of the chunks and results of the job.
+ */
 final class JobState {
 
   private static final StateChart<JobPhase, JobStep, NoAction> CHART =
@@ -74,7 +76,7 @@
     snapshot.attempts().forEach(count -> attempts.put(count.index(), count.attempts()));
   }
 
-  void apply(JobOutcomeGroup group, long offset, int place, Instant appendedAt) {
+  void apply(JobOutcomeGroup group, long offset, int groupIndex, Instant appendedAt) {
     if (endedAt != null) {
       return;
     }
@@ -85,7 +87,7 @@
       }
     }
     if (voidPositions.size() < group.outcomes().size()) {
-      results.add(new ResultSpan(offset, place, voidPositions));
+      results.add(new ResultSpan(offset, groupIndex, voidPositions));
     }
     group.attempts().forEach(this::countAttempts);
     if (endedCount == header.items()) {
@@ -119,7 +121,7 @@
     chunks.replaceAll(chunk -> chunk.offset() == from ? chunk.at(to) : chunk);
   }
 
-  void snapshotSeen(long offset) {
+  void snapshotFolded(long offset) {
     snapshotAt = offset;
   }
 
@@ -136,7 +138,7 @@
     return chunks;
   }
 
-  /** Returns whether the item exists, has not ended, and its job goes on. */
+  /** Returns whether the item exists and has no outcome, and its job is running. */
   boolean open(int index) {
     return endedAt == null && index >= 0 && index < header.items() && !ended.get(index);
   }
@@ -173,7 +175,7 @@
     return results.page(cursor, maxSpans);
   }
 
-  /** Returns up to a number of offsets below a limit whose records are still needed. */
+  /** Returns the offsets below a limit whose records are still needed, up to a maximum number. */
   Set<Long> neededBelow(long limit, int max) {
     Stream<Long> chunkOffsets =
         running() ? chunks.stream().map(ChunkLocation::offset) : Stream.of();
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/job/support/JobStep.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/job/support/JobStep.java
@@ -1,9 +1,9 @@
 package io.hawthornlb.core.job.support;
 
-/** What ends a job; see {@code job.yaml}. */
+/** Event that ends a job; see {@code job.yaml}. */
 enum JobStep {
-  /** Every item has ended. */
+  /** Every item has an outcome. */
   LAST_ITEM_ENDED,
-  /** A cancellation stands in the log. */
+  /** The log contains a valid cancellation. */
   CANCELLED
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/job/support/OutcomeBuffer.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/job/support/OutcomeBuffer.java
@@ -19,18 +19,21 @@
 import java.util.Optional;
 import org.jspecify.annotations.Nullable;
 
-/** Gathers outcomes of all jobs into few records, by number, size and age. */
+/**
+ * Buffers outcomes of all jobs, so that one record carries many of them. The buffer is flushed by
+ * the number, size or age of its outcomes.
+ */
 final class OutcomeBuffer {
 
   private static final int OVERHEAD_BYTES = 64;
 
   private final JobSettings settings;
-  private final Map<JobId, Gathered> gathered = new LinkedHashMap<>();
-  private final Deque<Sent> unseen = new ArrayDeque<>();
+  private final Map<JobId, JobOutcomes> buffered = new LinkedHashMap<>();
+  private final Deque<FlushedRecord> unconfirmed = new ArrayDeque<>();
   private List<Report> reports = new ArrayList<>();
   private int count;
   private int bytes;
-  private int unseenBytes;
+  private int unconfirmedBytes;
   private @Nullable Instant oldestAt;
 
   OutcomeBuffer(JobSettings settings) {
@@ -40,35 +43,38 @@
   void clear() {
     reset();
     reports.clear();
-    unseen.clear();
-    unseenBytes = 0;
+    unconfirmed.clear();
+    unconfirmedBytes = 0;
   }
 
-  /** Adds an outcome and the steward that reported it, if one did. */
-  void add(JobId job, ItemOutcome outcome, @Nullable InstanceId steward, Instant now) {
-    gathered(job).outcomes().add(outcome);
-    if (steward != null) {
-      reports.add(new Report(steward, new ItemKey(job, outcome.index())));
+  /** Adds an outcome, and the dispatcher that reported it if there is one. */
+  void add(JobId job, ItemOutcome outcome, @Nullable InstanceId dispatcher, Instant now) {
+    buffered(job).outcomes().add(outcome);
+    if (dispatcher != null) {
+      reports.add(new Report(dispatcher, new ItemKey(job, outcome.index())));
     }
     grow(OVERHEAD_BYTES + outcome.result().length() + outcome.cause().length(), now);
   }
 
   void add(JobId job, ItemAttempts attempts, Instant now) {
-    gathered(job).attempts().put(attempts.index(), attempts);
+    buffered(job).attempts().put(attempts.index(), attempts);
     grow(OVERHEAD_BYTES, now);
   }
 
-  /** Returns whether results wait for the log in such a number that no item may be given out. */
+  /**
+   * Returns whether so many bytes of results wait for the log that no further item may be
+   * dispatched.
+   */
   boolean full() {
-    return bytes + unseenBytes >= settings.maxBufferedBytes();
+    return bytes + unconfirmedBytes >= settings.maxBufferedBytes();
   }
 
-  boolean waits() {
+  boolean hasOutcomes() {
     return count > 0;
   }
 
   boolean empty() {
-    return count == 0 && unseen.isEmpty();
+    return count == 0 && unconfirmed.isEmpty();
   }
 
   boolean due(Instant now) {
@@ -79,35 +85,35 @@
     return old || count >= settings.groupItems() || bytes >= settings.groupBytes();
   }
 
-  /** Empties the buffer into one record. */
+  /** Empties the buffer and returns its outcomes as one record. */
   ItemOutcomes flush(Epoch epoch) {
     List<JobOutcomeGroup> groups = new ArrayList<>();
-    gathered.forEach((job, own) -> groups.add(own.group(job)));
-    unseen.addLast(new Sent(bytes, probe(groups), reports));
-    unseenBytes += bytes;
+    buffered.forEach((job, own) -> groups.add(own.group(job)));
+    unconfirmed.addLast(new FlushedRecord(bytes, firstItem(groups), reports));
+    unconfirmedBytes += bytes;
     reports = new ArrayList<>();
     reset();
     return new ItemOutcomes(epoch, groups, Optional.empty());
   }
 
-  /** Takes notice of what has been folded; returns the reports that are durable now. */
+  /** Applies progress of the fold, and returns the reports that have become durable. */
   List<Report> advance(JobFold fold) {
     List<Report> durable = new ArrayList<>();
-    unseen.removeIf(
-        sent -> {
-          boolean seen = sent.probe().map(item -> ended(fold, item)).orElse(true);
-          if (seen) {
-            unseenBytes -= sent.bytes();
-            durable.addAll(sent.reports());
+    unconfirmed.removeIf(
+        flushed -> {
+          boolean folded = flushed.firstItem().map(item -> ended(fold, item)).orElse(true);
+          if (folded) {
+            unconfirmedBytes -= flushed.bytes();
+            durable.addAll(flushed.reports());
           }
-          return seen;
+          return folded;
         });
     return durable;
   }
 
   /** Returns whether a flushed record has been folded. */
-  static boolean seen(ItemOutcomes outcomes, JobFold fold) {
-    return probe(outcomes.groups()).map(item -> ended(fold, item)).orElse(true);
+  static boolean folded(ItemOutcomes outcomes, JobFold fold) {
+    return firstItem(outcomes.groups()).map(item -> ended(fold, item)).orElse(true);
   }
 
   private static boolean ended(JobFold fold, ItemKey item) {
@@ -115,16 +121,16 @@
     return state == null || !state.open(item.index());
   }
 
-  private static Optional<ItemKey> probe(List<JobOutcomeGroup> groups) {
+  private static Optional<ItemKey> firstItem(List<JobOutcomeGroup> groups) {
     return groups.stream()
         .filter(group -> !group.outcomes().isEmpty())
         .map(group -> new ItemKey(group.job(), group.outcomes().get(0).index()))
         .findFirst();
   }
 
-  private Gathered gathered(JobId job) {
-    return gathered.computeIfAbsent(
-        job, key -> new Gathered(new ArrayList<>(), new LinkedHashMap<>()));
+  private JobOutcomes buffered(JobId job) {
+    return buffered.computeIfAbsent(
+        job, key -> new JobOutcomes(new ArrayList<>(), new LinkedHashMap<>()));
   }
 
   private void grow(int added, Instant now) {
@@ -134,26 +140,26 @@
   }
 
   private void reset() {
-    gathered.clear();
+    buffered.clear();
     count = 0;
     bytes = 0;
     oldestAt = null;
   }
 
-  private record Gathered(List<ItemOutcome> outcomes, Map<Integer, ItemAttempts> attempts) {
+  private record JobOutcomes(List<ItemOutcome> outcomes, Map<Integer, ItemAttempts> attempts) {
 
     JobOutcomeGroup group(JobId job) {
       return new JobOutcomeGroup(job, outcomes, List.copyOf(attempts.values()));
     }
   }
 
-  private record Sent(int bytes, Optional<ItemKey> probe, List<Report> reports) {}
+  private record FlushedRecord(int bytes, Optional<ItemKey> firstItem, List<Report> reports) {}
 
   /**
-   * A steward's report of an item.
+   * Report of a dispatcher about an item.
    *
-   * @param steward the steward
+   * @param dispatcher the dispatcher
    * @param item the item
    */
-  record Report(InstanceId steward, ItemKey item) {}
+  record Report(InstanceId dispatcher, ItemKey item) {}
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/job/support/JobQuestions.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/job/support/PendingJobRequests.java
@@ -30,8 +30,8 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Submissions and cancellations whose answer waits for the log. */
-final class JobQuestions {
+/** Submissions and cancellations whose answers wait for the log. */
+final class PendingJobRequests {
 
   private static final Duration RETRY_AFTER = Duration.ofSeconds(2);
 
@@ -41,9 +41,9 @@
   private final RecordIdSource ids;
   private final ResentAppends appends;
   private final Map<JobId, Submission> submissions = new LinkedHashMap<>();
-  private final Map<JobId, List<Question>> cancellations = new LinkedHashMap<>();
+  private final Map<JobId, List<WaitingRequest>> cancellations = new LinkedHashMap<>();
 
-  JobQuestions(
+  PendingJobRequests(
       PartitionId partition,
       JobFold fold,
       JobSettings settings,
@@ -58,49 +58,50 @@
 
   void submit(SubmitJob event, Epoch epoch, Instant now, List<Effect> out) {
     JobHeader header = event.header();
-    Question question =
-        new Question(event.replyTo(), event.request(), event.firstSend(), deadline(now));
+    WaitingRequest request =
+        new WaitingRequest(event.replyTo(), event.request(), event.firstSend(), deadline(now));
     JobState known = fold.state(header.id());
     if (known != null) {
-      out.add(known(question, header, known.header()));
+      out.add(known(request, header, known.header()));
       return;
     }
     Submission pending = submissions.get(header.id());
     if (pending != null && !sameContent(pending.header, header)) {
-      out.add(conflict(question, header.id(), false));
+      out.add(conflict(request, header.id(), false));
       return;
     }
     if (pending == null && full()) {
-      out.add(refuse(question, header.id(), RefusalReason.LIMIT_EXCEEDED, false));
+      out.add(refuse(request, header.id(), RefusalReason.LIMIT_EXCEEDED, false));
       return;
     }
     Submission submission = submissions.computeIfAbsent(header.id(), id -> new Submission(header));
-    submission.questions.add(question);
+    submission.requests.add(request);
     append(submission, epoch, now, out);
   }
 
-  /** Takes a cancellation; returns whether the job is to be stopped. */
+  /** Accepts a cancellation, and returns whether the job must be stopped. */
   boolean cancel(CancelJob event, Epoch epoch, Instant now, List<Effect> out) {
-    Question question = new Question(event.replyTo(), event.request(), false, deadline(now));
+    WaitingRequest request =
+        new WaitingRequest(event.replyTo(), event.request(), false, deadline(now));
     JobState state = fold.state(event.job());
     if (state == null || !state.header().workspace().equals(event.workspace())) {
       Refusal refusal = Refusal.notRun(RefusalReason.NOT_FOUND, "no such job");
-      out.add(answer(question, event.job(), JobAnswerKind.REFUSED, Optional.of(refusal)));
+      out.add(answer(request, event.job(), JobAnswerKind.REFUSED, Optional.of(refusal)));
       return false;
     }
     if (!state.running()) {
-      out.add(ended(question, state));
+      out.add(ended(request, state));
       return false;
     }
     boolean first = !cancellations.containsKey(event.job());
-    cancellations.computeIfAbsent(event.job(), id -> new ArrayList<>()).add(question);
+    cancellations.computeIfAbsent(event.job(), id -> new ArrayList<>()).add(request);
     if (first) {
       appends.add(record(new JobCancelled(epoch, event.job())), () -> over(event.job()), now, out);
     }
     return first;
   }
 
-  /** Answers what the log has decided since. */
+  /** Answers the requests that the log has decided since the last call. */
   void advance(Epoch epoch, Instant now, List<Effect> out) {
     submissions
         .values()
@@ -111,8 +112,8 @@
                 append(submission, epoch, now, out);
                 return false;
               }
-              submission.questions.forEach(
-                  question -> out.add(known(question, submission.header, state.header())));
+              submission.requests.forEach(
+                  request -> out.add(known(request, submission.header, state.header())));
               return true;
             });
     cancellations
@@ -125,43 +126,47 @@
               }
               entry
                   .getValue()
-                  .forEach(question -> out.add(overAnswer(question, entry.getKey(), state)));
+                  .forEach(request -> out.add(overAnswer(request, entry.getKey(), state)));
               return true;
             });
   }
 
   void tick(Instant now, List<Effect> out) {
     submissions.values().removeIf(submission -> expire(submission, now, out));
-    cancellations.forEach((job, questions) -> expire(job, questions, true, now, out));
+    cancellations.forEach((job, requests) -> expire(job, requests, true, now, out));
   }
 
   boolean empty() {
     return submissions.isEmpty() && cancellations.isEmpty();
   }
 
-  /** Sends everyone to the new holder. */
+  /**
+   * Answers all waiting requests with {@link JobAnswerKind#NOT_HOLDER}, so that callers turn to the
+   * new holder.
+   */
   void end(List<Effect> out) {
     submissions.forEach(
         (job, submission) ->
-            submission.questions.forEach(question -> out.add(notHolder(question, job))));
+            submission.requests.forEach(request -> out.add(notHolder(request, job))));
     cancellations.forEach(
-        (job, questions) -> questions.forEach(question -> out.add(notHolder(question, job))));
+        (job, requests) -> requests.forEach(request -> out.add(notHolder(request, job))));
     submissions.clear();
     cancellations.clear();
   }
 
   static Effect notHolder(SubmitJob event) {
     return notHolder(
-        new Question(event.replyTo(), event.request(), false, Instant.MAX), event.header().id());
+        new WaitingRequest(event.replyTo(), event.request(), false, Instant.MAX),
+        event.header().id());
   }
 
   static Effect notHolder(CancelJob event) {
     return notHolder(
-        new Question(event.replyTo(), event.request(), false, Instant.MAX), event.job());
+        new WaitingRequest(event.replyTo(), event.request(), false, Instant.MAX), event.job());
   }
 
-  private static Effect notHolder(Question question, JobId job) {
-    return answer(question, job, JobAnswerKind.NOT_HOLDER, Optional.empty());
+  private static Effect notHolder(WaitingRequest request, JobId job) {
+    return answer(request, job, JobAnswerKind.NOT_HOLDER, Optional.empty());
   }
 
   private boolean over(JobId job) {
@@ -175,7 +180,7 @@
 
   private boolean full() {
     return fold.states().size() + submissions.size() >= settings.maxJobs()
-        || submissions.size() + cancellations.size() >= settings.maxQuestions();
+        || submissions.size() + cancellations.size() >= settings.maxPendingRequests();
   }
 
   private Instant deadline(Instant now) {
@@ -192,88 +197,90 @@
 
   private boolean expire(Submission submission, Instant now, List<Effect> out) {
     JobId job = submission.header.id();
-    expire(job, submission.questions, submission.appended, now, out);
-    // An upload that has expired makes the record void, so that nothing is left to wait for.
+    expire(job, submission.requests, submission.appended, now, out);
+    // If the upload has expired, the appended JobAccepted record is void, and there is no decision
+    // to wait for.
     boolean undecided = submission.appended && fold.uploaded(submission.header);
-    return submission.questions.isEmpty() && !undecided;
+    return submission.requests.isEmpty() && !undecided;
   }
 
   private void expire(
-      JobId job, List<Question> questions, boolean appended, Instant now, List<Effect> out) {
-    questions.removeIf(
-        question -> {
-          boolean late = !question.deadline.isAfter(now);
+      JobId job, List<WaitingRequest> requests, boolean appended, Instant now, List<Effect> out) {
+    requests.removeIf(
+        request -> {
+          boolean late = !request.deadline.isAfter(now);
           if (late) {
-            out.add(refuse(question, job, RefusalReason.NOT_DURABLE, appended));
+            out.add(refuse(request, job, RefusalReason.NOT_DURABLE, appended));
           }
           return late;
         });
   }
 
-  private static Effect known(Question question, JobHeader asked, JobHeader held) {
+  private static Effect known(WaitingRequest request, JobHeader asked, JobHeader held) {
     return sameContent(asked, held)
-        ? answer(question, held.id(), JobAnswerKind.ACCEPTED, Optional.empty())
-        : conflict(question, held.id(), true);
+        ? answer(request, held.id(), JobAnswerKind.ACCEPTED, Optional.empty())
+        : conflict(request, held.id(), true);
   }
 
   private static boolean sameContent(JobHeader one, JobHeader other) {
     return one.contentHash().equals(other.contentHash());
   }
 
-  private static Effect overAnswer(Question question, JobId job, JobState state) {
+  private static Effect overAnswer(WaitingRequest request, JobId job, JobState state) {
     return state == null
-        ? answer(question, job, JobAnswerKind.ALREADY_ENDED, Optional.empty())
-        : ended(question, state);
+        ? answer(request, job, JobAnswerKind.ALREADY_ENDED, Optional.empty())
+        : ended(request, state);
   }
 
-  private static Effect ended(Question question, JobState state) {
+  private static Effect ended(WaitingRequest request, JobState state) {
     JobAnswerKind kind = state.cancelled() ? JobAnswerKind.CANCELLED : JobAnswerKind.ALREADY_ENDED;
-    return answer(question, state.header().id(), kind, Optional.empty());
+    return answer(request, state.header().id(), kind, Optional.empty());
   }
 
-  private static Effect conflict(Question question, JobId job, boolean durable) {
+  private static Effect conflict(WaitingRequest request, JobId job, boolean durable) {
     String detail = "the idempotency key was used with other content";
     Refusal refusal =
         durable
             ? Refusal.notRun(RefusalReason.KEY_CONFLICT, detail)
             : Refusal.mayHaveRun(RefusalReason.KEY_CONFLICT, detail);
-    return answer(question, job, JobAnswerKind.REFUSED, Optional.of(refusal));
+    return answer(request, job, JobAnswerKind.REFUSED, Optional.of(refusal));
   }
 
   /**
-   * Refuses a question that the log has not decided.
+   * Refuses a request that the log has not decided.
    *
-   * <p>"Not run" would be false of a key that was sent before: a holder that was superseded without
-   * knowing can't see that its successor accepted the job.
+   * <p>The refusal says "not run" only if the key was never sent before and nothing was appended.
+   * For a key that was sent before, "not run" could be false: a holder that was superseded and does
+   * not know it can't see that its successor accepted the job.
    */
   private static Effect refuse(
-      Question question, JobId job, RefusalReason reason, boolean appended) {
+      WaitingRequest request, JobId job, RefusalReason reason, boolean appended) {
     String detail = "the job could not be accepted for sure; send it again with the same key";
     Refusal refusal =
-        question.firstSend && !appended
+        request.firstSend && !appended
             ? Refusal.notRun(reason, detail)
             : Refusal.mayHaveRun(reason, detail);
     return answer(
-        question, job, JobAnswerKind.REFUSED, Optional.of(refusal.retryAfter(RETRY_AFTER)));
+        request, job, JobAnswerKind.REFUSED, Optional.of(refusal.retryAfter(RETRY_AFTER)));
   }
 
   private static Effect answer(
-      Question question, JobId job, JobAnswerKind kind, Optional<Refusal> refusal) {
-    JobAnswer message = new JobAnswer(question.request, job, kind, refusal);
-    return new SendPeerMessage(question.replyTo, message);
+      WaitingRequest request, JobId job, JobAnswerKind kind, Optional<Refusal> refusal) {
+    JobAnswer message = new JobAnswer(request.id, job, kind, refusal);
+    return new SendPeerMessage(request.replyTo, message);
   }
 
   private AppendRecord record(RecordBody body) {
     return new AppendRecord(stream, ids.next(), body);
   }
 
-  private record Question(
-      InstanceId replyTo, RequestId request, boolean firstSend, Instant deadline) {}
+  private record WaitingRequest(
+      InstanceId replyTo, RequestId id, boolean firstSend, Instant deadline) {}
 
   private static final class Submission {
 
     private final JobHeader header;
-    private final List<Question> questions = new ArrayList<>();
+    private final List<WaitingRequest> requests = new ArrayList<>();
     private boolean appended;
 
     private Submission(JobHeader header) {
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/job/support/Uploads.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/job/support/PendingUploads.java
@@ -14,8 +14,11 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Chunks in the stream whose job has not been accepted; bounded by number and age. */
-final class Uploads {
+/**
+ * Chunks in the stream whose jobs have not been accepted; bounded by the number and age of the
+ * uploads.
+ */
+final class PendingUploads {
 
   private static final int MAX_UPLOADS = 4_096;
   private static final Duration MAX_AGE = Duration.ofHours(1);
@@ -30,7 +33,10 @@
     upload.chunks().putIfAbsent(chunk.index(), stored);
   }
 
-  /** Returns the chunks of a job, or none while the upload is not what its header says. */
+  /**
+   * Returns the chunks of a job, or an empty list if the upload does not match the counts in the
+   * header.
+   */
   List<ChunkLocation> chunks(JobHeader header) {
     Upload upload = uploads.get(new UploadId(header.id(), header.submission()));
     if (upload == null || !upload.whole(header)) {
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/job/support/EarlyRecords.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/job/support/RecordsAwaitingSnapshot.java
@@ -12,19 +12,20 @@
 import java.util.Map;
 
 /**
- * Records that a reader of a truncated stream meets before the snapshot of their job.
+ * Keeps records that a reader of a truncated stream reads before the snapshot of their job.
  *
- * <p>A snapshot covers an offset below its own. Were the records in between dropped, such a reader
- * would miss outcomes that every other reader has. They wait here without their results, and are
- * applied on top of the snapshot. Their number is bounded by what is appended during two rounds of
- * snapshots.
+ * <p>A snapshot covers the stream up to an offset below its own. If the reader dropped the records
+ * between that offset and the snapshot, the reader would miss outcomes that every other reader has.
+ * So the records are kept here, without item bodies and results, and are applied on top of the
+ * snapshot. The number of kept records is bounded by the number of records that are appended during
+ * two rounds of snapshots.
  */
-final class EarlyRecords {
+final class RecordsAwaitingSnapshot {
 
   private final Map<JobId, List<LogRecord>> waiting = new HashMap<>();
   private boolean open;
 
-  EarlyRecords(boolean open) {
+  RecordsAwaitingSnapshot(boolean open) {
     this.open = open;
   }
 
@@ -32,7 +33,7 @@
     return open;
   }
 
-  void keep(JobId job, LogRecord entry) {
+  void add(JobId job, LogRecord entry) {
     if (open) {
       waiting.computeIfAbsent(job, key -> new ArrayList<>()).add(withoutBodies(entry));
     }
@@ -54,7 +55,7 @@
   private static LogRecord withoutBodies(LogRecord entry) {
     if (entry.body() instanceof ItemOutcomes outcomes) {
       List<JobOutcomeGroup> groups =
-          outcomes.groups().stream().map(EarlyRecords::withoutResults).toList();
+          outcomes.groups().stream().map(RecordsAwaitingSnapshot::withoutResults).toList();
       ItemOutcomes small = new ItemOutcomes(outcomes.epoch(), groups, outcomes.refreshOf());
       return new LogRecord(entry.offset(), entry.appendedAt(), entry.id(), small);
     }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/job/support/ResultIndex.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/job/support/ResultIndex.java
@@ -10,7 +10,10 @@
 import java.util.Optional;
 import java.util.stream.LongStream;
 
-/** Offsets of the results of one job; twelve bytes a group, and the void places of the few. */
+/**
+ * Positions of the results of one job in the log. The index takes twelve bytes for each outcome
+ * group, plus the positions of void outcomes for the few groups that have any.
+ */
 final class ResultIndex {
 
   private static final int FIRST_CAPACITY = 4;
@@ -58,8 +61,8 @@
     return Arrays.stream(offsets, 0, size);
   }
 
-  private ResultSpan span(int place) {
+  private ResultSpan span(int index) {
     return new ResultSpan(
-        offsets[place], groups[place], voidPositions.getOrDefault(place, List.of()));
+        offsets[index], groups[index], voidPositions.getOrDefault(index, List.of()));
   }
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/job/support/JobWork.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/job/support/RunningJob.java
@@ -19,12 +19,15 @@
 import java.util.Set;
 import org.jspecify.annotations.Nullable;
 
-/** What the holder knows of a running job beyond the log: two bits an item, and items in flight. */
-final class JobWork {
+/**
+ * State of a running job that only the holder has and the log does not contain: two bits for each
+ * item, and the items in flight.
+ */
+final class RunningJob {
 
   private static final StateChart<ItemState, ItemStep, NoAction> CHART =
       ChartResources.load(
-          JobWork.class, "item.yaml", ChartTypes.of(ItemState.class, ItemStep.class));
+          RunningJob.class, "item.yaml", ChartTypes.of(ItemState.class, ItemStep.class));
 
   private final JobState state;
   private final BitSet done;
@@ -32,14 +35,14 @@
   private final Map<Integer, Assignment> assigned = new LinkedHashMap<>();
   private final Map<Integer, Integer> attempts = new HashMap<>(0);
   private final Map<ServiceName, ServiceCursor> cursors = new HashMap<>();
-  private Instant lastGivenAt;
+  private Instant lastDispatchedAt;
   private boolean stopped;
 
-  JobWork(JobState state) {
+  RunningJob(JobState state) {
     this.state = state;
     this.done = state.endedItems();
     this.taken = state.endedItems();
-    this.lastGivenAt = state.header().submittedAt();
+    this.lastDispatchedAt = state.header().submittedAt();
     for (ChunkLocation chunk : state.chunks()) {
       cursors
           .computeIfAbsent(chunk.service(), service -> new ServiceCursor(taken))
@@ -59,28 +62,29 @@
     return cursors.keySet();
   }
 
-  /** Ends all handing out; running items are forgotten. */
+  /** Stops the assignment of items, and discards the assignments of running items. */
   void stop() {
     stopped = true;
     assigned.clear();
   }
 
-  boolean gives(ServiceName service) {
+  boolean hasFreeItem(ServiceName service) {
     ServiceCursor cursor = cursors.get(service);
     return !stopped && state.running() && cursor != null && cursor.next() >= 0;
   }
 
   JobCandidate candidate() {
     JobHeader header = state.header();
-    return new JobCandidate(header.id(), header.workspace(), header.due(), lastGivenAt);
+    return new JobCandidate(header.id(), header.workspace(), header.due(), lastDispatchedAt);
   }
 
-  ItemDispatch give(ServiceName service, InstanceId steward, Instant now) {
+  ItemDispatch assignNext(ServiceName service, InstanceId dispatcher, Instant now) {
     JobHeader header = state.header();
     int index = cursors.get(service).next();
-    // An item that waits for its start to be durable is not with its steward yet.
-    assign(index, steward, header.atMostOnce() ? Instant.MAX : now);
-    lastGivenAt = now;
+    // An at-most-once item is sent to its dispatcher only after its start is durable. Until then
+    // the assignment must not time out.
+    assign(index, dispatcher, header.atMostOnce() ? Instant.MAX : now);
+    lastDispatchedAt = now;
     return new ItemDispatch(
         header.id(),
         header.workspace(),
@@ -92,14 +96,17 @@
         header.atMostOnce());
   }
 
-  void assign(int index, InstanceId steward, Instant now) {
-    if (move(index, ItemStep.GIVEN) == ItemState.ASSIGNED) {
+  void assign(int index, InstanceId dispatcher, Instant now) {
+    if (move(index, ItemStep.ASSIGNED) == ItemState.ASSIGNED) {
       taken.set(index);
-      assigned.put(index, new Assignment(steward, now));
+      assigned.put(index, new Assignment(dispatcher, now));
     }
   }
 
-  /** Returns the state that a step leads to; what is kept of an item follows it. */
+  /**
+   * Applies a step to an item and returns the new state. An item that leaves the assigned state
+   * loses its assignment.
+   */
   private ItemState move(int index, ItemStep step) {
     ChartInstance<ItemState, ItemStep, NoAction> item =
         new ChartInstance<>(CHART, itemState(index));
@@ -110,7 +117,7 @@
     return item.state();
   }
 
-  /** Returns the state that the bits of an item stand for. */
+  /** Returns the state that the bits and the assignment of an item encode. */
   private ItemState itemState(int index) {
     if (done.get(index)) {
       return ItemState.DONE;
@@ -129,13 +136,13 @@
     return assigned;
   }
 
-  /** Returns whether the item is neither ended, nor given out, nor waiting to be retried. */
+  /** Returns whether the item has no outcome, is not assigned, and does not wait for a retry. */
   boolean free(int index) {
     return !stopped && state.open(index) && !taken.get(index);
   }
 
-  /** Returns whether an outcome of the item is still wanted. */
-  boolean wanted(int index) {
+  /** Returns whether the item still needs an outcome. */
+  boolean needsOutcome(int index) {
     return !stopped && state.open(index) && !done.get(index);
   }
 
@@ -146,16 +153,16 @@
     done.set(index);
   }
 
-  /** Takes the item from its steward; it is given out again only after {@link #giveBack}. */
+  /** Takes the item from its dispatcher; the item is assigned again only after {@link #release}. */
   void withhold(int index) {
     move(index, ItemStep.WITHHELD);
   }
 
-  void giveBack(int index) {
-    ItemState next = move(index, wanted(index) ? ItemStep.GIVEN_BACK : ItemStep.WITHHELD);
-    if (wanted(index) && next == ItemState.FREE) {
+  void release(int index) {
+    ItemState next = move(index, needsOutcome(index) ? ItemStep.RELEASED : ItemStep.WITHHELD);
+    if (needsOutcome(index) && next == ItemState.FREE) {
       taken.clear(index);
-      cursors.values().forEach(cursor -> cursor.giveBack(index));
+      cursors.values().forEach(cursor -> cursor.release(index));
     }
   }
 
@@ -170,10 +177,11 @@
   }
 
   /**
-   * An item given to a steward.
+   * Assignment of an item to a dispatcher.
    *
-   * @param steward the steward
-   * @param confirmedAt when it was given, or last named by the steward
+   * @param dispatcher the dispatcher
+   * @param confirmedAt when the item was assigned, or when the dispatcher last reported the item as
+   *     in progress
    */
-  record Assignment(InstanceId steward, Instant confirmedAt) {}
+  record Assignment(InstanceId dispatcher, Instant confirmedAt) {}
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/job/support/ServiceCursor.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/job/support/ServiceCursor.java
@@ -4,7 +4,7 @@
 import java.util.BitSet;
 import java.util.List;
 
-/** Finds the next item of one service that is not taken. */
+/** Finds the next free item of one service. */
 final class ServiceCursor {
 
   private final BitSet taken;
@@ -19,7 +19,7 @@
     ranges.add(new Range(first, end));
   }
 
-  /** Returns the next item, or -1. */
+  /** Returns the index of the next free item, or -1 if there is none. */
   int next() {
     while (current < ranges.size()) {
       Range range = ranges.get(current);
@@ -32,7 +32,7 @@
     return -1;
   }
 
-  void giveBack(int index) {
+  void release(int index) {
     for (int i = 0; i < current; i++) {
       Range range = ranges.get(i);
       if (range.first() <= index && index < range.end()) {
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/job/support/package-info.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/job/support/package-info.java
@@ -1,4 +1,4 @@
-/** State of jobs in the log, scheduling of their items, and the coordinator. */
+/** State of jobs as folded from the log, scheduling of their items, and the job coordinator. */
 @NullMarked
 package io.hawthornlb.core.job.support;
 
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/job/JobBench.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/job/JobBench.java
@@ -33,7 +33,7 @@
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 
-/** Heap and appends of jobs; prints lines of a table. */
+/** Measures the heap use of jobs and the number of appends, and prints them as table rows. */
 @Tag("bench")
 class JobBench {
 
@@ -96,7 +96,7 @@
     return runtime.totalMemory() - runtime.freeMemory();
   }
 
-  /** A holder on a log that takes each record at once and keeps none. */
+  /** A holder whose log applies each record immediately and stores none. */
   private static final class Holder {
 
     private final JobFold fold = new JobFold(true);
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/job/JobExplorationTest.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/job/JobExplorationTest.java
@@ -16,17 +16,17 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Random failures, alone and together, by seed. */
+/** Runs jobs under random failures, single and combined, reproducible by seed. */
 class JobExplorationTest {
 
   private static final int SEEDS = Integer.getInteger("hawthornlb.exploration.seeds", 40);
   private static final int ITEMS = 150;
 
-  // A job is lost, an item has no result or two, or a cancelled job goes on, in some order of
-  // kills,
-  // pauses, outages, cuts, lost answers and appends that were given up.
+  // Guards against lost jobs, items with no result or with two results, and cancelled jobs that
+  // keep running. Such failures can follow from any order of process kills, pauses, log outages,
+  // network cuts, lost answers and abandoned appends.
   @Test
-  void keepsItsPromisesUnderAnyFailures() {
+  void keepsInvariantsUnderRandomFailures() {
     int ended = 0;
     for (int seed = 0; seed < SEEDS; seed++) {
       ended += new Exploration(seed).run();
@@ -57,7 +57,7 @@
       }
       scenario.cluster().run(Duration.ofMillis(500));
       scenario.cluster().givenUpAppends(0.05);
-      scenario.stewards(4);
+      scenario.dispatcherWidth(4);
       for (int step = 0; step < 60; step++) {
         act();
         scenario.cluster().run(Duration.ofMillis(random.nextInt(200)));
@@ -118,8 +118,8 @@
 
     private void checkResults(JobHeader job, JobStatus status, Map<Integer, ItemOutcome> expected) {
       Map<Integer, ItemOutcome> results = new HashMap<>();
-      for (ItemOutcome end : scenario.results(scenario.replay(), job.id())) {
-        assertTrue(results.put(end.index(), end) == null, "doubled, seed " + seed);
+      for (ItemOutcome end : scenario.results(scenario.jobFold(), job.id())) {
+        assertTrue(results.put(end.index(), end) == null, "two results of one item, seed " + seed);
         boolean own = end.result().equals("result " + end.index());
         assertTrue(own || end.status() == ItemStatus.FAILED, "seed " + seed + " " + end);
       }
@@ -146,7 +146,7 @@
           submissions.keySet().stream()
               .skip(submissions.size() - uploads.size())
               .allMatch(request -> kind(request) == JobAnswerKind.ACCEPTED);
-      assertTrue(accepted, "the last submissions are accepted, seed " + seed);
+      assertTrue(accepted, "the last submissions must be accepted, seed " + seed);
     }
 
     private JobAnswerKind kind(RequestId request) {
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/job/JobFailureTest.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/job/JobFailureTest.java
@@ -17,21 +17,21 @@
 
 class JobFailureTest {
 
-  private static final Duration LONG = Duration.ofSeconds(120);
+  private static final Duration END_TIMEOUT = Duration.ofSeconds(120);
 
   private final JobScenario scenario = new JobScenario(3);
 
-  // A buyer's desk is told that its bay reports are accepted, the instance that said so dies, and
-  // nobody else has ever heard of them.
+  // Guards against the loss of an accepted job: a holder accepts a job and dies, and no other
+  // instance knows the job.
   @Test
   void acceptedJobSurvivesTheHolderThatAcceptedIt() {
     scenario.hold(0);
     JobId job = scenario.accepted("reports", 120);
     scenario.node(0).kill();
     scenario.hold(1);
-    scenario.stewards(8);
+    scenario.dispatcherWidth(8);
 
-    assertTrue(scenario.awaitEnd(job, LONG));
+    assertTrue(scenario.awaitEnd(job, END_TIMEOUT));
     assertEquals(120, scenario.status(job).completed());
   }
 
@@ -54,8 +54,8 @@
     assertEquals(JobAnswerKind.ACCEPTED, scenario.await(scenario.submit(header)).kind());
   }
 
-  // A grower is billed twice for the same bay: the client sent its job again through another
-  // instance after the first one had died, and both jobs ran.
+  // Guards against double execution and double billing: a client resends its job through another
+  // instance after the first instance has died, and both jobs run.
   @Test
   void resentJobIsTheSameJob() {
     scenario.hold(0);
@@ -64,11 +64,11 @@
     scenario.hold(1);
     JobHeader again = scenario.upload("reports", 60, "content", false);
     JobAnswer answer = scenario.await(scenario.submit(again));
-    scenario.stewards(8);
+    scenario.dispatcherWidth(8);
 
     assertEquals(JobAnswerKind.ACCEPTED, answer.kind());
     assertEquals(job, answer.job());
-    assertTrue(scenario.awaitEnd(job, LONG));
+    assertTrue(scenario.awaitEnd(job, END_TIMEOUT));
     assertEquals(60, scenario.allExecutions());
   }
 
@@ -83,15 +83,15 @@
     assertEquals(RefusalReason.KEY_CONFLICT, answer.refusal().orElseThrow().reason());
   }
 
-  // Some items of a job have two results, or none, after the holder died or stood still, appends
-  // were taken twice since their answers were lost, and a steward died with items in flight.
+  // Guards against items with two results or none: the holder dies or is paused, appends are stored
+  // twice because their answers were lost, and a dispatcher dies with items in flight.
   @ParameterizedTest
   @ValueSource(ints = {50, 150, 300, 450, 700, 1_000, 1_500})
-  void eachItemEndsOnceThroughTakeOvers(int afterMillis) {
+  void eachItemEndsOnceAcrossFailovers(int afterMillis) {
     scenario.cluster().lostAnswers(0.3);
     scenario.hold(0);
     JobId job = scenario.accepted("reports", 300);
-    scenario.stewards(6);
+    scenario.dispatcherWidth(6);
     scenario.cluster().run(Duration.ofMillis(afterMillis));
     scenario.node(0).pause();
     scenario.hold(1);
@@ -102,35 +102,36 @@
     scenario.node(1).kill();
     scenario.hold(3);
 
-    assertTrue(scenario.awaitEnd(job, LONG));
+    assertTrue(scenario.awaitEnd(job, END_TIMEOUT));
     assertEquals(300, scenario.status(job).completed());
-    List<ItemOutcome> results = scenario.results(scenario.replay(), job);
+    List<ItemOutcome> results = scenario.results(scenario.jobFold(), job);
     assertEquals(300, results.size());
     assertEquals(300, results.stream().map(ItemOutcome::index).distinct().count());
     results.forEach(end -> assertEquals("result " + end.index(), end.result()));
   }
 
-  // Engines do the same reports again after each loss of an instance: results that a holder had
-  // gathered and not yet stored were gone with it. The stewards have kept them.
+  // Guards against repeated work after the loss of an instance: results that the holder has
+  // buffered but not stored are lost with the holder. Dispatchers keep these results and resend
+  // them.
   @Test
   void noWorkIsRedoneWhenOnlyTheHolderDies() {
     scenario.hold(0);
     JobId job = scenario.accepted("reports", 600);
-    scenario.stewards(6);
+    scenario.dispatcherWidth(6);
     scenario.cluster().run(Duration.ofMillis(530));
     scenario.node(0).kill();
     scenario.hold(1);
 
-    assertTrue(scenario.awaitEnd(job, LONG));
+    assertTrue(scenario.awaitEnd(job, END_TIMEOUT));
     assertEquals(600, scenario.status(job).completed());
     assertEquals(600, scenario.allExecutions());
   }
 
   @Test
-  void drainedHolderLeavesNothingBehind() {
+  void drainedHolderHasStoredAllOutcomes() {
     scenario.hold(0);
     JobId job = scenario.accepted("reports", 600);
-    scenario.stewards(6);
+    scenario.dispatcherWidth(6);
     scenario.cluster().run(Duration.ofMillis(530));
     scenario.node(0).job(new DrainJobs());
     JobHeader next = scenario.upload("next", 20, "content", false);
@@ -142,17 +143,18 @@
     scenario.node(0).kill();
     scenario.hold(1);
 
-    assertTrue(scenario.awaitEnd(job, LONG));
+    assertTrue(scenario.awaitEnd(job, END_TIMEOUT));
     assertEquals(600, scenario.allExecutions());
   }
 
-  // A cancelled roster goes on after the instance that took the cancellation has died.
+  // Guards against a cancelled job that continues after the instance that accepted the cancellation
+  // has died.
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void cancelledJobStaysStoppedThroughATakeOver(boolean holderDies) {
+  void cancelledJobStaysStoppedAfterFailover(boolean holderDies) {
     scenario.hold(0);
     JobId job = scenario.accepted("roster", 2_000);
-    scenario.stewards(8);
+    scenario.dispatcherWidth(8);
     scenario.cluster().run(Duration.ofSeconds(1));
     assertEquals(JobAnswerKind.CANCELLED, scenario.await(scenario.cancel(job)).kind());
     scenario.cluster().run(Duration.ofMillis(50));
@@ -168,13 +170,13 @@
     assertEquals(0, IntStream.range(1, 4).map(i -> scenario.node(i).steward().running()).sum());
   }
 
-  // The holder dies between the question and the record: the caller has no answer, asks again, and
-  // the job stops.
+  // The holder dies after it receives the cancellation and before it stores the record. The caller
+  // gets no answer and sends the cancellation again, and the job stops.
   @Test
-  void cancellationThatWasLostIsAskedAgain() {
+  void lostCancellationSucceedsWhenResent() {
     scenario.hold(0);
     JobId job = scenario.accepted("roster", 2_000);
-    scenario.stewards(4);
+    scenario.dispatcherWidth(4);
     scenario.cluster().log().down(true);
     RequestId lost = scenario.cancel(job);
     scenario.cluster().run(Duration.ofMillis(100));
@@ -191,20 +193,20 @@
     assertEquals(executed, scenario.allExecutions());
   }
 
-  // A job never ends because of a few items that no engine can do.
+  // Guards against a job that never ends because no engine can process a few of its items.
   @Test
-  void impossibleItemsEndAsFailedAndHoldNobodyUp() {
+  void impossibleItemsEndAsFailedAndDoNotBlockTheJob() {
     scenario.hold(0);
     IntStream.range(0, 4)
         .forEach(i -> scenario.node(i).steward().impossible(index -> index % 50 == 7));
     JobId job = scenario.accepted("reports", 200);
-    scenario.stewards(8);
+    scenario.dispatcherWidth(8);
 
-    assertTrue(scenario.awaitEnd(job, LONG));
+    assertTrue(scenario.awaitEnd(job, END_TIMEOUT));
     assertEquals(4, scenario.status(job).failed());
     assertEquals(196, scenario.status(job).completed());
     ItemOutcome failed =
-        scenario.results(scenario.replay(), job).stream()
+        scenario.results(scenario.jobFold(), job).stream()
             .filter(end -> end.status() == ItemStatus.FAILED)
             .findFirst()
             .orElseThrow();
@@ -212,29 +214,31 @@
     assertEquals(5, scenario.executions(new ItemKey(job, 7)));
   }
 
-  // Attempts are counted anew after each take-over, and an item that breaks things is tried for
-  // ever in a fleet whose instances come and go.
+  // Guards against endless retries: if each failover reset the attempt count, an item that always
+  // fails would be retried forever in a fleet whose instances come and go.
   @Test
-  void attemptsAreCountedThroughTakeOvers() {
+  void attemptCountSurvivesFailovers() {
     scenario.hold(0);
     IntStream.range(0, 4).forEach(i -> scenario.node(i).steward().impossible(index -> true));
     JobId job = scenario.accepted("reports", 1);
-    scenario.stewards(1);
+    scenario.dispatcherWidth(1);
     for (int holder = 1; holder < 4; holder++) {
       scenario.cluster().run(Duration.ofMillis(700));
       scenario.hold(holder);
     }
 
-    assertTrue(scenario.awaitEnd(job, LONG));
+    assertTrue(scenario.awaitEnd(job, END_TIMEOUT));
     assertTrue(scenario.executions(new ItemKey(job, 0)) <= 8);
   }
 
-  // A billing-relevant item runs twice, since the steward that had it is lost with its outcome and
-  // the holder gives it to another one.
+  // Guards against an item that runs twice, which matters for billing: the dispatcher is lost
+  // together with the outcome of the item, and the holder dispatches the item to another
+  // dispatcher.
   @Test
-  void itemsThatMayNotRepeatRunAtMostOnce() {
+  void atMostOnceItemsNeverRunTwice() {
     assertEquals(0, doubledItems(true));
-    assertTrue(doubledItems(false) > 0, "without the record of started items some run twice");
+    assertTrue(
+        doubledItems(false) > 0, "without the record of started items, some items must run twice");
   }
 
   private static int doubledItems(boolean atMostOnce) {
@@ -242,7 +246,7 @@
     own.hold(0);
     JobHeader header = own.upload("billing", 1_000, "content", atMostOnce);
     assertEquals(JobAnswerKind.ACCEPTED, own.await(own.submit(header)).kind());
-    own.stewards(6);
+    own.dispatcherWidth(6);
     own.cluster().run(Duration.ofMillis(500));
     own.node(2).kill();
     own.cluster().run(Duration.ofMillis(300));
@@ -252,23 +256,23 @@
     own.cluster().run(Duration.ofSeconds(4));
     own.node(1).resume();
 
-    assertTrue(own.awaitEnd(header.id(), LONG));
-    assertEquals(1_000, own.results(own.replay(), header.id()).size());
+    assertTrue(own.awaitEnd(header.id(), END_TIMEOUT));
+    assertEquals(1_000, own.results(own.jobFold(), header.id()).size());
     return (int)
         IntStream.range(0, 1_000)
             .filter(index -> own.executions(new ItemKey(header.id(), index)) > 1)
             .count();
   }
 
-  // A job stands at 199 of 200 items for good: the log writer had given up one append after a long
-  // outage, and the holder still waited for its record to come back.
+  // Guards against a job that stays at 199 of 200 items forever: the log writer abandons one append
+  // after a long outage, and the holder keeps waiting for its record to appear in the stream.
   @Test
-  void appendsThatWereGivenUpAreAskedForAgain() {
+  void abandonedAppendsAreRequestedAgain() {
     scenario.hold(0);
     JobId job = scenario.accepted("reports", 200);
     scenario.cluster().givenUpAppends(0.5);
-    scenario.stewards(4);
-    assertTrue(scenario.awaitEnd(job, LONG));
+    scenario.dispatcherWidth(4);
+    assertTrue(scenario.awaitEnd(job, END_TIMEOUT));
     assertEquals(200, scenario.status(job).completed());
 
     JobId roster = scenario.upload("roster", 5_000, "content", false).id();
@@ -276,7 +280,7 @@
     assertEquals(roster, scenario.accepted("roster", 5_000));
     scenario.cluster().givenUpAppends(0.9);
     scenario.cancel(roster);
-    scenario.cluster().runUntil(() -> cancelled(roster), LONG);
+    scenario.cluster().runUntil(() -> cancelled(roster), END_TIMEOUT);
     assertTrue(cancelled(roster));
   }
 
@@ -284,16 +288,17 @@
     return scenario.status(job).phase() == JobPhase.CANCELLED;
   }
 
-  // Memory grows without bound in an outage of the platform, because endpoints go on and results
-  // can't be stored: items are given out only as long as there is room for their results.
+  // Guards against unbounded memory growth during an outage of the platform: endpoints keep
+  // producing results that can't be stored. So items are dispatched only while the buffer has room
+  // for their results.
   @Test
-  void noItemIsGivenOutWhileResultsCanNotBeStored() {
+  void noItemIsDispatchedWhileResultsCannotBeStored() {
     JobScenario small =
         new JobScenario(
             3, JobScenario.settings().groupBytes(2_000).maxBufferedBytes(4_000).build());
     small.hold(0);
     JobId job = small.accepted("reports", 1_000);
-    small.stewards(4);
+    small.dispatcherWidth(4);
     small.cluster().run(Duration.ofMillis(300));
     small.cluster().log().down(true);
     small.cluster().run(Duration.ofSeconds(5));
@@ -303,7 +308,7 @@
     assertTrue(executed < 150, "executed " + executed);
 
     small.cluster().healAll();
-    assertTrue(small.awaitEnd(job, LONG));
+    assertTrue(small.awaitEnd(job, END_TIMEOUT));
     assertEquals(1_000, small.status(job).completed());
   }
 }
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/job/JobFoldPropertyTest.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/job/JobFoldPropertyTest.java
@@ -33,10 +33,10 @@
   private static final int JOBS = 3;
   private static final int ITEMS = 6;
 
-  // An item is reported with one result here and with another there, depending on which records an
-  // instance has folded and in what state: all must agree with the replay of everything.
+  // Guards against instances that report different results for one item, depending on which records
+  // they have folded and in what state. The fold must agree with a full replay of the stream.
   @Property(tries = 500, seed = "20261202")
-  void boundedFoldAgreesWithTheReplayOfEverything(@ForAll long seed) {
+  void boundedFoldAgreesWithFullReplay(@ForAll long seed) {
     List<LogRecord> records = records(new Random(seed));
     JobFold fold = fold(records);
     NaiveJobs naive = NaiveJobs.replay(records);
@@ -75,7 +75,7 @@
       JobFold fold, JobId job, List<LogRecord> records) {
     Map<Integer, ItemOutcome> outcomes = new HashMap<>();
     for (ItemOutcome end : JobScenario.results(fold, job, records)) {
-      assertTrue(outcomes.put(end.index(), end) == null, "one outcome an item");
+      assertTrue(outcomes.put(end.index(), end) == null, "an item must have only one outcome");
     }
     return outcomes;
   }
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/job/JobOrderTest.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/job/JobOrderTest.java
@@ -22,7 +22,8 @@
 
   private final Map<String, Integer> turns = new HashMap<>();
 
-  // A packer with one small job waits for the thousand jobs of another to end.
+  // Guards against a workspace with one small job that waits until the thousand jobs of another
+  // workspace have ended.
   @Test
   void workspacesShareTurns() {
     List<JobCandidate> jobs = new ArrayList<>();
@@ -60,9 +61,10 @@
     assertTrue(turns.getOrDefault("w3", 0) >= 5, "turns " + turns);
   }
 
-  // A roster that is due tomorrow never starts, because rosters that are due sooner keep coming.
+  // Guards against starvation: a job that is due tomorrow never starts, because jobs that are due
+  // sooner keep arriving.
   @Test
-  void jobThatWaitsIsNotStarved() {
+  void waitingJobIsNotStarved() {
     JobOrder order = order();
     JobCandidate old = job("old", "w", Duration.ofHours(10));
     Instant now = START;
@@ -75,7 +77,7 @@
         return;
       }
     }
-    fail("the old job never had a turn");
+    fail("the old job never got a turn");
   }
 
   private void run(JobOrder order, List<JobCandidate> jobs, int count) {
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/job/JobRetentionTest.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/job/JobRetentionTest.java
@@ -21,17 +21,18 @@
   private final JobScenario scenario =
       new JobScenario(5, JobScenario.settings().logRetention(RETENTION).build());
 
-  // A quality desk reads the results of the morning in the evening and finds none: the platform had
-  // dropped the records long before the time that the catalogue promised.
+  // Guards against results that disappear early: a caller reads in the evening the results of the
+  // morning and finds none, because the platform drops the records long before the result retention
+  // time of the catalogue ends.
   @Test
-  void resultsStayReadableWhenTheLogForgetsThem() {
+  void resultsStayReadableAfterTheLogDropsTheirRecords() {
     scenario.hold(0);
     JobId job = scenario.accepted("reports", 150);
-    scenario.stewards(6);
+    scenario.dispatcherWidth(6);
     assertTrue(scenario.awaitEnd(job, Duration.ofMinutes(1)));
     scenario.cluster().run(Duration.ofMinutes(10));
 
-    JobFold fold = scenario.replay();
+    JobFold fold = scenario.jobFold();
     Instant oldest = scenario.cluster().now().minus(RETENTION);
     for (ResultSpan span : fold.results(job, 0, 1_000).spans()) {
       assertTrue(scenario.cluster().log().at(span.offset()).appendedAt().isAfter(oldest));
@@ -39,15 +40,15 @@
     assertEquals(150, scenario.results(fold, job).size());
   }
 
-  // An instance that starts on a log that has forgotten its beginning reports other results, or
-  // other states, than those that have folded all of it.
+  // Guards against diverging state: an instance that starts on a log whose first records have been
+  // dropped reports other results or phases than instances that have folded the whole log.
   @Test
-  void readerOfATruncatedStreamComesToTheSameState() {
+  void readerOfATruncatedStreamReachesTheSameState() {
     scenario.cluster().lostAnswers(0.2);
     scenario.hold(0);
     JobId first = scenario.accepted("first", 400);
     JobId second = scenario.accepted("second", 3_000);
-    scenario.stewards(2);
+    scenario.dispatcherWidth(2);
     scenario.cluster().run(Duration.ofSeconds(70));
     scenario.hold(1);
     JobId third = scenario.accepted("third", 10_000);
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/job/JobScenario.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/job/JobScenario.java
@@ -27,7 +27,10 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Four instances with stewards, and a caller that submits jobs and resends its questions. */
+/**
+ * Four instances with dispatchers, and a caller that submits and cancels jobs and can resend its
+ * requests.
+ */
 final class JobScenario {
 
   static final WorkspaceId WORKSPACE = new WorkspaceId("vatuwaqa");
@@ -62,7 +65,7 @@
     return JobSettings.builder()
         .groupDelay(Duration.ofMillis(200))
         .groupItems(40)
-        .stewardTimeout(Duration.ofSeconds(2))
+        .dispatcherTimeout(Duration.ofSeconds(2))
         .adoptionDelay(Duration.ofSeconds(1))
         .retryDelay(Duration.ofMillis(100));
   }
@@ -75,13 +78,16 @@
     return nodes.get(index);
   }
 
-  /** Lets a node hold the partition, and all nodes but the first run items. */
+  /**
+   * Makes a node claim the partition, and waits up to 5 seconds until the node holds the partition.
+   */
   void hold(int holder) {
     cluster.claim(node(holder), List.of());
     cluster.runUntil(() -> node(holder).holds(), Duration.ofSeconds(5));
   }
 
-  void stewards(int width) {
+  /** Sets how many items the dispatcher of each node but the first runs at once. */
+  void dispatcherWidth(int width) {
     nodes.forEach(node -> node.steward().width(node == nodes.get(0) ? 0 : width));
   }
 
@@ -132,7 +138,7 @@
 
   JobAnswer await(RequestId request) {
     cluster.runUntil(() -> answers.containsKey(request), Duration.ofSeconds(20));
-    assertTrue(answers.containsKey(request), "the caller gets an answer");
+    assertTrue(answers.containsKey(request), "the caller must get an answer");
     return answers.get(request);
   }
 
@@ -146,20 +152,20 @@
     return header.id();
   }
 
-  /** Returns the state of a job as a reader sees it that folds the log anew. */
+  /** Returns the status of a job as the last node has folded it. */
   JobStatus status(JobId job) {
-    return replay().status(job).orElseThrow();
+    return jobFold().status(job).orElseThrow();
   }
 
   boolean awaitEnd(JobId job, Duration time) {
     return cluster.runUntil(() -> status(job).phase() != JobPhase.RUNNING, time);
   }
 
-  JobFold replay() {
+  JobFold jobFold() {
     return nodes.get(3).jobFold();
   }
 
-  /** Reads the results of a job page by page, as an entry does. */
+  /** Reads the results of a job page by page, as an entry instance does. */
   List<ItemOutcome> results(JobDirectory directory, JobId job) {
     return results(directory, job, cluster.log().readFrom(0));
   }
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/job/NaiveJobs.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/job/NaiveJobs.java
@@ -13,7 +13,10 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The naive twin of the fold: replays every record and keeps every outcome whole. */
+/**
+ * Naive reference implementation of the job fold, which replays every record and keeps every
+ * outcome in memory.
+ */
 final class NaiveJobs {
 
   private final Map<JobId, JobHeader> accepted = new LinkedHashMap<>();
@@ -30,7 +33,10 @@
     return replayAll(records, false);
   }
 
-  /** Replays with the guard out: a later outcome replaces an earlier one, also after a cancel. */
+  /**
+   * Replays without the first-outcome rule: a later outcome replaces an earlier one, also after a
+   * cancellation.
+   */
   static NaiveJobs replayWithoutGuard(List<LogRecord> records) {
     return replayAll(records, true);
   }
