--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/partition/HeldPartition.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/partition/HeldPartition.java
@@ -3,15 +3,15 @@
 import io.hawthornlb.core.claim.Claim;
 import java.util.Optional;
 
-/** Whether this instance decides for a partition now, as far as it knows. */
+/** Tells whether this instance currently holds a partition, as far as the instance knows. */
 public interface HeldPartition {
 
   /**
-   * Returns the claim under which this instance decides.
+   * Returns the claim under which this instance holds the partition.
    *
-   * <p>Present only while the claim is not known to be superseded, the stream has been opened under
-   * its epoch, and the fold of the stream is complete; all valid records of earlier holders are
-   * then folded.
+   * <p>The claim is present only while all of these conditions hold: the claim is not known to be
+   * superseded, the stream has been opened under the epoch of the claim, and the fold of the stream
+   * is complete. All valid records of earlier holders are folded by then.
    */
   Optional<Claim> claim();
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/partition/PartitionFold.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/partition/PartitionFold.java
@@ -5,29 +5,40 @@
 import java.util.Optional;
 
 /**
- * Folds the stream of a partition: decides which records are valid and hands them to sections.
+ * Folds the stream of a partition: decides which records are valid, and passes valid records to the
+ * sections of the partition's state.
  *
- * <p>A record of a holder is valid if its epoch is that of the last valid {@link PartitionOpened}
- * before it; an opening is valid if its epoch is above that of the one before. So the order of the
- * stream alone decides, whatever a holder that was paused or cut off still believes.
+ * <p>A record of a holder is valid if its epoch is the epoch of the last valid {@link
+ * PartitionOpened} before it. An opening record is valid if its epoch is above the epoch of the
+ * last valid opening record, or if it repeats that record. So validity depends only on the order of
+ * the stream, and not on what a paused or disconnected holder still believes.
  */
 public interface PartitionFold extends StreamFold {
 
-  /** Returns the last valid opening. */
+  /** Returns the last valid opening record, or empty if there is none. */
   Optional<PartitionOpened> opened();
 
-  /** Returns the offset of the last valid opening or its last repetition, or -1. */
+  /**
+   * Returns the offset of the last valid opening record or of its last repetition, or -1 if there
+   * is none.
+   */
   long openedAt();
 
   /**
-   * Returns whether the state is whole: the fold began with the first record of the stream, or has
-   * met a round of snapshots from its start to its end.
+   * Returns whether the state is complete: the fold started with the first record of the stream, or
+   * has applied a whole round of snapshots.
    */
   boolean complete();
 
-  /** Returns when the last round of snapshots ended, or when the first record was appended. */
+  /**
+   * Returns when the last complete round of snapshots ended. Before the first such round, returns
+   * when the first applied record was appended; empty if no record was applied.
+   */
   Optional<Instant> lastRoundAt();
 
-  /** Returns the lowest offset that was appended at or after a time, as far as is known. */
+  /**
+   * Returns an offset at or below the lowest offset that was appended at or after a time. The
+   * result is approximate, because only a bounded number of offsets and times is kept.
+   */
   long offsetAt(Instant time);
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/partition/PartitionRecord.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/partition/PartitionRecord.java
@@ -6,7 +6,8 @@
 /**
  * A record that only the holder of a partition may write.
  *
- * <p>It is void unless its epoch is that of the last valid {@link PartitionOpened} before it.
+ * <p>The record is void unless its epoch is the epoch of the last valid {@link PartitionOpened}
+ * before it.
  */
 public interface PartitionRecord extends RecordBody {
 
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/partition/PartitionSection.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/partition/PartitionSection.java
@@ -3,9 +3,11 @@
 import io.hawthornlb.core.log.LogRecord;
 
 /**
- * One concern's state of a partition, fed by the fold of the partition's stream.
+ * One part of the state of a partition, such as its jobs, updated by the fold of the partition's
+ * stream.
  *
- * <p>Sections get only records that are valid at their offset; they pass over types of others.
+ * <p>A section receives only records that are valid at their offset. It ignores record types that
+ * belong to other sections.
  */
 public interface PartitionSection {
 
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/partition/package-info.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/partition/package-info.java
@@ -1,4 +1,7 @@
-/** The stream of one partition: who may write to it, and the fold that hands records on. */
+/**
+ * The stream of one partition: the rules for who may write to it, and the fold that passes valid
+ * records to the parts of the partition's state.
+ */
 @NullMarked
 package io.hawthornlb.core.partition;
 
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/partition/support/DefaultHeldPartition.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/partition/support/DefaultHeldPartition.java
@@ -17,10 +17,11 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Opens the stream of a partition that this instance has claimed, and begins rounds of snapshots.
+ * Opens the stream of a partition that this instance has claimed, and starts rounds of snapshots.
  *
- * <p>Confined to one thread. The claim is valid by the stream of claims; the opening carries its
- * epoch over into the partition's own stream, so that no order between streams is needed.
+ * <p>Confined to one thread. The stream of claims decides whether a claim is valid. The opening
+ * record repeats the epoch of the claim in the partition's own stream, so that validity does not
+ * depend on the order of records in different streams.
  */
 public final class DefaultHeldPartition implements HeldPartition {
 
@@ -34,7 +35,7 @@
   private @Nullable Instant roundRequestedAt;
   private @Nullable Instant openingSentAt;
 
-  /** Creates the state of a partition that is not held. */
+  /** Creates the state of a partition that this instance does not hold. */
   public DefaultHeldPartition(PartitionFold fold, RecordIdSource ids, Duration logRetention) {
     this.fold = fold;
     this.ids = ids;
@@ -42,26 +43,31 @@
   }
 
   /**
-   * Takes a claim of this instance that is valid by the stream of claims.
+   * Processes a claim of this instance that is valid in the stream of claims, and returns the
+   * append of the opening record.
    *
-   * @throws IllegalArgumentException if an earlier claim is above it
+   * @throws IllegalArgumentException if the epoch is not above that of the claim that this instance
+   *     has
    */
   public List<Effect> claimGained(Claim claim) {
     boolean later = claimed == null || claim.epoch().compareTo(claimed.epoch()) > 0;
-    Checks.isTrue(later, "the claim of epoch " + claim.epoch().value() + " was superseded before");
+    Checks.isTrue(later, "the claim of epoch " + claim.epoch().value() + " is already superseded");
     claimed = claim;
     openingSentAt = null;
     return List.of(opening(claim));
   }
 
-  /** Takes notice that the claim of an epoch, and those before it, have ended. */
+  /** Processes the end of the claim of an epoch and of all claims with lower epochs. */
   public void claimLost(Epoch epoch) {
     if (claimed != null && claimed.epoch().compareTo(epoch) <= 0) {
       claimed = null;
     }
   }
 
-  /** Sends a lost opening again, and begins rounds of snapshots; called every second or so. */
+  /**
+   * Resends the opening record if it was lost, and requests a new round of snapshots when one is
+   * due. Call this method about once a second.
+   */
   public List<Effect> tick(Instant now) {
     Claim claim = claim().orElse(null);
     if (claim == null) {
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/partition/support/DefaultPartitionFold.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/partition/support/DefaultPartitionFold.java
@@ -15,10 +15,10 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The fold that every instance uses.
+ * The {@link PartitionFold} in production use.
  *
- * <p>Records need no ids to be dropped when they come twice: each type of record of this stream
- * changes nothing the second time.
+ * <p>The fold does not filter duplicates by record id, because applying any record of this stream a
+ * second time changes nothing.
  */
 public final class DefaultPartitionFold implements PartitionFold {
 
@@ -32,11 +32,11 @@
   private @Nullable Instant lastRoundAt;
 
   /**
-   * Creates the fold of a stream.
+   * Creates the fold of the stream of one partition.
    *
-   * @param firstOffset the first offset that the platform still has; zero for a whole stream
-   * @param logRetention how long the platform keeps records
-   * @param sections the states that get the valid records
+   * @param firstOffset the first offset that the platform still keeps; zero for a complete stream
+   * @param logRetention how long the platform keeps the records of the log
+   * @param sections the parts of the state that receive the valid records
    */
   public DefaultPartitionFold(
       long firstOffset, Duration logRetention, List<PartitionSection> sections) {
@@ -49,7 +49,8 @@
 
   @Override
   public void apply(LogRecord entry) {
-    Checks.isTrue(entry.offset() >= nextOffset, "offset " + entry.offset() + " was applied before");
+    Checks.isTrue(
+        entry.offset() >= nextOffset, "offset " + entry.offset() + " was already applied");
     nextOffset = entry.offset() + 1;
     times.record(entry.offset(), entry.appendedAt());
     if (lastRoundAt == null) {
@@ -95,8 +96,9 @@
       return open(opening, entry.offset());
     }
     if (entry.body() instanceof PartitionRecord written) {
-      // A holder that was paused past its claim wakes up and writes: its records would undo what
-      // its successor decided. They carry the old epoch and stand after the successor's opening.
+      // A holder that was paused beyond the end of its claim may resume and write. Its records
+      // would undo decisions of its successor. They carry the old epoch and follow the successor's
+      // opening record, so they are void.
       boolean current = opened != null && written.epoch().equals(opened.epoch());
       if (current && written instanceof SnapshotCompleted end) {
         endRound(end, entry.appendedAt());
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/partition/support/OffsetTimes.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/partition/support/OffsetTimes.java
@@ -5,7 +5,7 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** Remembers roughly which offset was appended when, with a bounded number of marks. */
+/** Records approximately when which offset was appended, with a bounded number of marks. */
 final class OffsetTimes {
 
   private static final int MARKS = 64;
@@ -27,7 +27,7 @@
     }
   }
 
-  /** Returns the offset of the last mark at or before a time, or 0. */
+  /** Returns the offset of the last mark at or before a time, or 0 if there is none. */
   long offsetAt(Instant time) {
     long offset = 0;
     for (Mark mark : marks) {
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/partition/support/ResentAppends.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/partition/support/ResentAppends.java
@@ -9,10 +9,11 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Asks again for appends whose record has not come back in the stream.
+ * Requests an append again when its record has not appeared in the stream.
  *
- * <p>Whoever carries out an append may give up while the platform is away. A decider that waits for
- * the record would then wait for good, and the job or request with it.
+ * <p>The log writer may abandon an append while the platform is unavailable. Without a new request,
+ * the coordinator that waits for the record would wait forever, and so would the job or request
+ * that depends on it.
  */
 public final class ResentAppends {
 
@@ -20,37 +21,37 @@
 
   private final List<Pending> pending = new ArrayList<>();
 
-  /** Creates the list without appends. */
+  /** Creates an empty list of appends. */
   public ResentAppends() {}
 
   /**
-   * Asks for an append.
+   * Requests an append, and repeats the request every 10 seconds until the append is settled.
    *
    * @param effect the append
-   * @param settled says whether the record has been folded or is not wanted any more
+   * @param settled returns whether the record has been folded or is no longer needed
    * @param now the current time
-   * @param out takes the effect
+   * @param out receives the effect
    */
   public void add(AppendRecord effect, BooleanSupplier settled, Instant now, List<Effect> out) {
     pending.add(new Pending(effect, settled, now));
     out.add(effect);
   }
 
-  /** Forgets what is settled and asks again for the rest. */
+  /** Removes settled appends, and requests the overdue ones of the others again. */
   public void tick(Instant now, List<Effect> out) {
     if (pending.isEmpty()) {
       return;
     }
     pending.removeIf(append -> append.settled().getAsBoolean());
-    pending.replaceAll(append -> append.due(now) ? again(append, now, out) : append);
+    pending.replaceAll(append -> append.due(now) ? resend(append, now, out) : append);
   }
 
-  /** Forgets all appends, at the end of a term. */
+  /** Removes all appends, when the instance no longer holds the partition. */
   public void clear() {
     pending.clear();
   }
 
-  private static Pending again(Pending append, Instant now, List<Effect> out) {
+  private static Pending resend(Pending append, Instant now, List<Effect> out) {
     out.add(append.effect());
     return new Pending(append.effect(), append.settled(), now);
   }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/partition/support/package-info.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/partition/support/package-info.java
@@ -1,4 +1,4 @@
-/** Fold of a partition's stream and the opening of a partition by its holder. */
+/** The fold of a partition's stream, and the opening of the stream by a new holder. */
 @NullMarked
 package io.hawthornlb.core.partition.support;
 
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/partition/PartitionFoldTest.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/partition/PartitionFoldTest.java
@@ -29,31 +29,29 @@
   private final RunOnceFold section = new RunOnceFold();
   private long offset;
 
-  // A third holder asks the wrong witnesses and runs a check-in again: the first holder had sent
-  // its
-  // naming of witnesses twice, since the answer was lost, and the second copy came after the naming
-  // of the second holder.
+  // Guards against a request that runs twice because a third holder queries the wrong replicas: the
+  // first holder sends its record that names the replicas twice, because the answer was lost, and
+  // the second copy arrives after the record of the second holder.
   @Test
-  void lateRecordOfADeadEpochIsVoid() {
+  void lateRecordOfASupersededEpochIsVoid() {
     PartitionFold fold = new DefaultPartitionFold(0, RETENTION, List.of(section));
-    applyNamings(fold);
+    applyReplicaRecords(fold);
 
     assertEquals(new Epoch(2), section.witnesses().orElseThrow().epoch());
     assertEquals(SECOND, fold.opened().orElseThrow().holder());
   }
 
   @Test
-  void withoutEpochsTheLateRecordCounts() {
-    applyNamings(new UnfencedPartitionFold(List.of(section)));
+  void withoutEpochCheckTheLateRecordIsApplied() {
+    applyReplicaRecords(new UnfencedPartitionFold(List.of(section)));
 
     assertEquals(new Epoch(1), section.witnesses().orElseThrow().epoch());
   }
 
-  // A partition stands still for good: the opening of a holder that was paused before it reached
-  // the
-  // log comes after that of its successor, and everyone follows it.
+  // Guards against a partition that stops forever: a holder is paused before its opening record
+  // reaches the log, the record arrives after that of its successor, and all instances accept it.
   @Test
-  void lateOpeningOfADeadEpochIsVoid() {
+  void lateOpeningOfASupersededEpochIsVoid() {
     PartitionFold fold = new DefaultPartitionFold(0, RETENTION, List.of());
     apply(fold, new PartitionOpened(new Epoch(2), SECOND));
     apply(fold, new PartitionOpened(new Epoch(1), FIRST));
@@ -63,7 +61,7 @@
   }
 
   @Test
-  void readerOfATruncatedStreamIsCompleteAfterAWholeRound() {
+  void readerOfATruncatedStreamIsCompleteAfterAWholeSnapshotRound() {
     PartitionFold fold = new DefaultPartitionFold(100, RETENTION, List.of(section));
     offset = 100;
     apply(fold, named(2));
@@ -78,7 +76,7 @@
   }
 
   @Test
-  void refusesOffsetsThatWereApplied() {
+  void rejectsOffsetsThatWereAlreadyApplied() {
     PartitionFold fold = new DefaultPartitionFold(0, RETENTION, List.of());
     apply(fold, new PartitionOpened(new Epoch(1), FIRST));
     offset = 0;
@@ -88,7 +86,7 @@
         () -> apply(fold, new PartitionOpened(new Epoch(1), FIRST)));
   }
 
-  private void applyNamings(PartitionFold fold) {
+  private void applyReplicaRecords(PartitionFold fold) {
     apply(fold, new PartitionOpened(new Epoch(1), FIRST));
     apply(fold, named(1));
     apply(fold, new PartitionOpened(new Epoch(2), SECOND));
