--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/claim/Claim.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/claim/Claim.java
@@ -6,17 +6,19 @@
 import java.util.List;
 
 /**
- * A valid claim of a partition.
+ * A valid claim of an instance to hold a partition.
  *
- * @param partition the partition
- * @param epoch the offset of the claim record; fences every earlier holder
- * @param holder the instance that decides for the partition
- * @param witnesses further instances that keep run-once intents in memory; may be empty
+ * @param partition the claimed partition
+ * @param epoch the offset of the claim record; fences off every earlier holder, whose records carry
+ *     a lower epoch
+ * @param holder the instance that holds the partition
+ * @param witnesses the replicas: further instances that keep run-once entries of the partition in
+ *     memory; may be empty
  */
 public record Claim(
     PartitionId partition, Epoch epoch, InstanceId holder, List<InstanceId> witnesses) {
 
-  /** Copies the witnesses. */
+  /** Copies the replicas. */
   public Claim {
     witnesses = List.copyOf(witnesses);
   }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/claim/ClaimManager.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/claim/ClaimManager.java
@@ -10,29 +10,47 @@
 /**
  * Decides which partitions this instance claims, renews and hands over.
  *
- * <p>Who holds a partition follows from the log alone; this decider only chooses when to try.
- * Confined to one thread.
+ * <p>The records of the log alone determine who holds a partition; the manager only chooses when
+ * this instance tries to claim one. Confined to one thread.
  */
 public interface ClaimManager {
 
-  /** Hears of each record of the stream of claims, after the fold has taken it. */
+  /**
+   * Processes a record of the stream of claims; called for each record after the fold has applied
+   * it.
+   */
   void onRecord(LogRecord entry);
 
-  /** Hears which instances the platform lists; those that it lists no more are doubted sooner. */
+  /**
+   * Processes the list of instances that the platform reports. An instance that is no longer listed
+   * counts as silent after a shorter time.
+   */
   void onListed(Set<InstanceId> listed);
 
-  /** Decides anew; to be called at least twice in a renewal interval. */
+  /**
+   * Returns the records to append now: renewals, claims, releases and snapshots. Call this method
+   * at least twice in each renewal interval.
+   */
   List<AppendRecord> onTick();
 
-  /** Hands over everything; {@link #onTick} goes on until {@link #stopped()}. */
+  /**
+   * Starts to hand over all partitions of this instance, and returns the first records to append.
+   * The caller continues to call {@link #onTick} until {@link #stopped()} returns true.
+   */
   List<AppendRecord> stop();
 
-  /** Returns whether the stop has been asked for and this instance holds nothing any more. */
+  /** Returns whether a stop was requested and this instance no longer holds any partition. */
   boolean stopped();
 
-  /** Returns the instances that are in service by the log, this one included unless it leaves. */
+  /**
+   * Returns the instances that are in service according to the log. This instance is included
+   * unless it is leaving.
+   */
   Set<InstanceId> live();
 
-  /** Returns whether this instance is the first to write the snapshots of a stream; a hint. */
+  /**
+   * Returns whether this instance is the preferred writer of the snapshots of a stream. Instances
+   * may disagree for a while, which does no harm.
+   */
   boolean writesFirst(StreamName stream);
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/claim/ClaimRecord.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/claim/ClaimRecord.java
@@ -7,21 +7,23 @@
 import java.util.List;
 
 /**
- * Claims a partition; its offset becomes the epoch.
+ * Claims a partition. The offset of the record becomes the epoch of the claim.
  *
- * <p>Valid only if the superseded epoch is still current. Only the current holder may claim for
- * another instance, which hands the partition over.
+ * <p>The record is valid only if the superseded epoch is still current. An instance may claim a
+ * partition for itself. Only the current holder may claim it for another instance, and so hand the
+ * partition over.
  *
- * @param partition the partition
- * @param holder the instance that shall hold it
- * @param superseded the epoch that it ends; {@link Epoch#NONE} for the first claim
- * @param witnesses further instances that keep run-once intents in memory; may be empty
+ * @param partition the claimed partition
+ * @param holder the instance that becomes the holder
+ * @param superseded the epoch that the claim ends; {@link Epoch#NONE} for the first claim
+ * @param witnesses the replicas: further instances that keep run-once entries of the partition in
+ *     memory; may be empty
  */
 public record ClaimRecord(
     PartitionId partition, InstanceId holder, Epoch superseded, List<InstanceId> witnesses)
     implements RecordBody {
 
-  /** Copies the witnesses. */
+  /** Copies the replicas. */
   public ClaimRecord {
     witnesses = List.copyOf(witnesses);
   }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/claim/ClaimSnapshot.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/claim/ClaimSnapshot.java
@@ -7,12 +7,12 @@
 /**
  * The claims of all partitions at one offset.
  *
- * @param version the version of the fold that wrote it
- * @param upTo the offset below which every record is folded
+ * @param version the version of the fold that wrote the snapshot
+ * @param upTo the offset below which every record is folded into the snapshot
  * @param part the number of this part, from zero
  * @param parts the number of parts
- * @param writers the record ids that still count as duplicates
- * @param claims every partition that was claimed at least once
+ * @param writers the record ids that the fold still recognizes as duplicates
+ * @param claims the state of every partition that was claimed at least once
  */
 public record ClaimSnapshot(
     int version,
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/claim/ClaimView.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/claim/ClaimView.java
@@ -3,10 +3,13 @@
 import io.hawthornlb.core.model.PartitionId;
 import java.util.Optional;
 
-/** The current claims as far as this instance has folded the log. */
+/** Read access to the current claims, as of the last record that this instance has folded. */
 public interface ClaimView {
 
-  /** Returns the current claim of a partition, or empty if it was never claimed or released. */
+  /**
+   * Returns the current claim of a partition, or empty if the partition was never claimed or its
+   * last claim was released.
+   */
   Optional<Claim> current(PartitionId partition);
 
   /** Returns the fixed number of partitions. */
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/claim/PartitionHash.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/claim/PartitionHash.java
@@ -4,7 +4,7 @@
 import io.hawthornlb.core.model.PartitionId;
 import io.hawthornlb.core.util.Checks;
 
-/** Maps keys to partitions; the same on every instance and in every version. */
+/** Maps keys to partitions. The mapping is the same on every instance and in every version. */
 public final class PartitionHash {
 
   private PartitionHash() {}
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/claim/ReleaseRecord.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/claim/ReleaseRecord.java
@@ -5,9 +5,10 @@
 import io.hawthornlb.core.model.PartitionId;
 
 /**
- * Gives a partition up without a successor; valid only from its holder in the current epoch.
+ * Releases a partition without naming a successor. The record is valid only if the current holder
+ * wrote it and its epoch is current.
  *
  * @param partition the partition
- * @param epoch the epoch of the claim that ends
+ * @param epoch the epoch of the released claim
  */
 public record ReleaseRecord(PartitionId partition, Epoch epoch) implements RecordBody {}
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/claim/RendezvousHash.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/claim/RendezvousHash.java
@@ -9,19 +9,25 @@
 import java.util.Optional;
 import org.jspecify.annotations.Nullable;
 
-/** Ranks instances for a key; when one leaves, only the keys that it was first for move. */
+/**
+ * Ranks instances for a key by rendezvous hashing. When an instance leaves, only the keys that it
+ * owned move to other owners.
+ */
 public final class RendezvousHash {
 
   private record Ranked(InstanceId instance, long hash) {}
 
   private final List<Ranked> instances;
 
-  /** Creates a ranking of instances. */
+  /** Creates a hash over a set of instances. */
   public RendezvousHash(Collection<InstanceId> instances) {
     this.instances = instances.stream().sorted().map(each -> new Ranked(each, hash(each))).toList();
   }
 
-  /** Returns the first instance for a key; empty without instances. */
+  /**
+   * Returns the owner of a key, which is the first instance of its ranking; empty if there are no
+   * instances.
+   */
   public Optional<InstanceId> owner(long key) {
     @Nullable Ranked first = null;
     long highest = 0;
@@ -35,14 +41,14 @@
     return Optional.ofNullable(first).map(Ranked::instance);
   }
 
-  /** Returns all instances for a key, the owner first. */
+  /** Returns all instances in the order of their ranks for a key, the owner first. */
   public List<InstanceId> ranked(long key) {
     List<Ranked> sorted = new ArrayList<>(instances);
     sorted.sort(Comparator.comparingLong((Ranked each) -> weight(key, each)).reversed());
     return sorted.stream().map(Ranked::instance).toList();
   }
 
-  /** Hashes the name that stays, so that a restart moves nothing. */
+  /** Hashes the stable name of an instance, so that a restart of the instance moves no keys. */
   private static long hash(InstanceId instance) {
     return Hashing.wyhashFinal4().hashCharsToLong(instance.stableName());
   }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/claim/RenewalRecord.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/claim/RenewalRecord.java
@@ -5,11 +5,11 @@
 import java.time.Duration;
 
 /**
- * Shows that its writer lives, and so renews all partitions that it holds.
+ * Heartbeat of an instance, which renews its claims of all partitions that it holds.
  *
- * @param dataCentre where the writer runs
- * @param interval the time after which the writer means to renew again
- * @param leaving whether the writer takes no further partition
+ * @param dataCentre the data centre in which the writer runs
+ * @param interval the time after which the writer intends to renew again
+ * @param leaving whether the writer is stopping and accepts no further partition
  */
 public record RenewalRecord(DataCentre dataCentre, Duration interval, boolean leaving)
     implements RecordBody {}
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/claim/package-info.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/claim/package-info.java
@@ -1,4 +1,7 @@
-/** Who holds a partition: claims by superseded epoch, renewals and releases. */
+/**
+ * Ownership of partitions: records that claim, renew and release a partition, and the interfaces to
+ * read and manage claims.
+ */
 @NullMarked
 package io.hawthornlb.core.claim;
 
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/claim/support/ClaimAction.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/claim/support/ClaimAction.java
@@ -1,9 +1,9 @@
 package io.hawthornlb.core.claim.support;
 
-/** What the fold does on transitions; see {@code claim.yaml}. */
+/** Action of the fold on a state transition; see {@code claim.yaml}. */
 enum ClaimAction {
-  /** The claim makes a new epoch. */
-  HOLD,
-  /** The partition has no holder until the next claim. */
-  LET_GO
+  /** The claim starts a new epoch with its holder. */
+  SET_HOLDER,
+  /** The partition loses its holder and has none until the next claim. */
+  CLEAR_HOLDER
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/claim/support/ClaimEvent.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/claim/support/ClaimEvent.java
@@ -1,15 +1,15 @@
 package io.hawthornlb.core.claim.support;
 
-/** What a record of the current epoch asks for; see {@code claim.yaml}. */
+/** Event that a record of the current epoch causes; see {@code claim.yaml}. */
 enum ClaimEvent {
-  /** The writer claims for itself. */
+  /** The writer claims the partition for itself. */
   TAKEN,
-  /** The holder claims for another instance. */
+  /** The holder claims the partition for another instance. */
   HANDED_OVER,
-  /** Somebody who is not the holder claims for another instance. */
-  GIVEN_BY_OTHER,
-  /** The holder lets go. */
+  /** An instance that is not the holder claims the partition for another instance. */
+  ASSIGNED_BY_OTHER,
+  /** The holder releases the partition. */
   RELEASED,
-  /** Somebody who is not the holder asks for a release. */
+  /** An instance that is not the holder tries to release the partition. */
   RELEASED_BY_OTHER
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/claim/support/ClaimFold.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/claim/support/ClaimFold.java
@@ -26,8 +26,9 @@
 /**
  * Folds the stream of claims.
  *
- * <p>A claim is valid only if the epoch that it supersedes is current, so of two that race the one
- * at the lower offset wins, and a holder that was paused finds its epoch dead.
+ * <p>A claim is valid only if the epoch that it supersedes is current. So the claim at the lower
+ * offset wins a race of two claims, and a claim by a paused holder is void if another instance has
+ * taken over in the meantime.
  */
 public final class ClaimFold extends AbstractStreamFold<ClaimSnapshot> implements ClaimView {
 
@@ -41,7 +42,7 @@
 
   private final @Nullable ClaimState[] states;
 
-  /** Creates a fold for a fixed number of partitions. */
+  /** Creates an empty fold for a fixed number of partitions. */
   public ClaimFold(int partitions) {
     super(ClaimSnapshot.class, VERSION);
     Checks.isTrue(partitions > 0, "partitions must be positive");
@@ -97,13 +98,14 @@
   }
 
   private void applyClaim(Epoch epoch, InstanceId writer, ClaimRecord claim) {
-    // A holder that was paused for longer than the others waited, or the slower of two claimants,
-    // believes in an epoch that has ended. It would show as two holders of one partition. The
-    // record names the epoch that it rests on, which is current for one of them at most.
+    // A holder that was paused for longer than the silence timeout, or the slower of two claimants,
+    // relies on an epoch that has ended. If its claim were valid, one partition would have two
+    // holders. Each claim names the epoch that it supersedes, and that epoch is current for at most
+    // one of the claims.
     if (!isKnown(claim.partition()) || !epoch(claim.partition()).equals(claim.superseded())) {
       return;
     }
-    if (actions(claim.partition(), event(writer, claim)).contains(ClaimAction.HOLD)) {
+    if (actions(claim.partition(), event(writer, claim)).contains(ClaimAction.SET_HOLDER)) {
       Optional<InstanceId> holder = Optional.of(claim.holder());
       states[claim.partition().value()] =
           new ClaimState(claim.partition(), epoch, holder, claim.witnesses());
@@ -118,7 +120,7 @@
     ClaimState state = states[partition.value()];
     ClaimEvent event =
         writer.equals(holder(partition)) ? ClaimEvent.RELEASED : ClaimEvent.RELEASED_BY_OTHER;
-    if (state != null && actions(partition, event).contains(ClaimAction.LET_GO)) {
+    if (state != null && actions(partition, event).contains(ClaimAction.CLEAR_HOLDER)) {
       states[partition.value()] =
           new ClaimState(partition, state.epoch(), Optional.empty(), state.witnesses());
     }
@@ -130,10 +132,13 @@
     }
     return writer.equals(holder(claim.partition()))
         ? ClaimEvent.HANDED_OVER
-        : ClaimEvent.GIVEN_BY_OTHER;
+        : ClaimEvent.ASSIGNED_BY_OTHER;
   }
 
-  /** Returns what the chart asks for; a record that does not fit is ignored there. */
+  /**
+   * Returns the actions that the state chart prescribes for an event; none for an event that the
+   * current state ignores.
+   */
   private List<ClaimAction> actions(PartitionId partition, ClaimEvent event) {
     ClaimPhase phase = holder(partition) == null ? ClaimPhase.FREE : ClaimPhase.HELD;
     return new ChartInstance<>(CHART, phase).fire(event);
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/claim/support/ClaimPhase.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/claim/support/ClaimPhase.java
@@ -1,6 +1,6 @@
 package io.hawthornlb.core.claim.support;
 
-/** Whether a partition has a holder; see {@code claim.yaml}. */
+/** State of a partition in the stream of claims; see {@code claim.yaml}. */
 enum ClaimPhase {
   FREE,
   HELD
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/claim/support/DefaultClaimManager.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/claim/support/DefaultClaimManager.java
@@ -32,8 +32,10 @@
 /**
  * Places partitions by rendezvous hashing over the instances that renew.
  *
- * <p>It claims what belongs to it and nobody holds, or whose holder is silent; it hands over what
- * belongs to another; and it claims anew what it holds when a witness has gone silent.
+ * <p>The manager claims a partition that this instance owns by the placement, if the partition has
+ * no holder or its holder is silent. The manager hands over a held partition that another instance
+ * owns. The manager claims a held partition again, with other replicas, when a replica has become
+ * silent or a missing replica has become available.
  */
 public final class DefaultClaimManager implements ClaimManager {
 
@@ -45,8 +47,8 @@
   private final PlacementPolicy policy;
   private final InstantSource clock;
   private final ClaimSettings settings;
-  private final LifeSigns lifeSigns;
-  private final WitnessSelector witnessSelector;
+  private final Heartbeats heartbeats;
+  private final ReplicaSelector replicaSelector;
   private final Placement placement;
   private final SnapshotSchedule<ClaimSnapshot> snapshots;
   private final Map<PartitionId, Pending> pending = new HashMap<>();
@@ -55,7 +57,7 @@
   private Duration interval;
   private boolean leaving;
 
-  /** Creates a manager for the writer of the record ids. */
+  /** Creates the manager of the instance that is the writer of the record ids. */
   public DefaultClaimManager(
       ClaimFold fold,
       RecordIdSource ids,
@@ -70,8 +72,8 @@
     this.clock = clock;
     this.settings = settings;
     this.interval = settings.interval(1);
-    this.lifeSigns = new LifeSigns(ids.writer(), settings);
-    this.witnessSelector = new WitnessSelector(lifeSigns);
+    this.heartbeats = new Heartbeats(ids.writer(), settings);
+    this.replicaSelector = new ReplicaSelector(heartbeats);
     this.placement = new Placement(fold.partitions());
     this.snapshots = new SnapshotSchedule<>(fold, settings.snapshots(), clock);
   }
@@ -79,20 +81,20 @@
   @Override
   public void onRecord(LogRecord entry) {
     Instant now = clock.instant();
-    lifeSigns.note(entry, now);
+    heartbeats.onRecord(entry, now);
     if (pendingRenewal != null && pendingRenewal.id().equals(entry.id())) {
       pendingRenewal = null;
     }
     if (entry.body() instanceof ClaimRecord claim) {
-      noteSeen(claim.partition(), entry.id(), now);
+      onClaimChange(claim.partition(), entry.id(), now);
     } else if (entry.body() instanceof ReleaseRecord release) {
-      noteSeen(release.partition(), entry.id(), now);
+      onClaimChange(release.partition(), entry.id(), now);
     }
   }
 
   @Override
   public void onListed(Set<InstanceId> listed) {
-    lifeSigns.noteListed(listed);
+    heartbeats.setListed(listed);
   }
 
   @Override
@@ -106,7 +108,7 @@
       pendingRenewal = new Pending(renewal.id(), now);
       effects.add(renewal);
     }
-    if (fold.complete() && (leaving || lifeSigns.settled())) {
+    if (fold.complete() && (leaving || heartbeats.settled())) {
       decideAll(now, live, effects);
       snapshots.onTick(writesFirst(StreamName.CLAIMS)).forEach(part -> effects.add(append(part)));
     }
@@ -127,7 +129,7 @@
 
   @Override
   public Set<InstanceId> live() {
-    Set<InstanceId> live = lifeSigns.live();
+    Set<InstanceId> live = heartbeats.live();
     if (leaving) {
       live.remove(ids.writer());
     } else {
@@ -146,17 +148,19 @@
     if (pendingRenewal != null) {
       return !now.isBefore(pendingRenewal.since().plus(settings.appendTimeout()));
     }
-    Optional<Instant> last = lifeSigns.lastOwnAt();
+    Optional<Instant> last = heartbeats.lastOwnAt();
     return leaving || last.isEmpty() || !now.isBefore(last.get().plus(interval));
   }
 
   /**
-   * An instance that has just started knows the size of the fleet by the others' intervals only.
+   * Returns the renewal interval of this instance. An instance that has just started does not know
+   * the size of the fleet, so it uses the longest interval that another instance has announced if
+   * that interval is longer.
    */
   private Duration interval(int instances) {
     Duration own = settings.interval(instances);
-    Duration longest = lifeSigns.longestInterval();
-    return lifeSigns.settled() || own.compareTo(longest) > 0 ? own : longest;
+    Duration longest = heartbeats.longestInterval();
+    return heartbeats.settled() || own.compareTo(longest) > 0 ? own : longest;
   }
 
   private void decideAll(Instant now, Set<InstanceId> live, List<AppendRecord> effects) {
@@ -175,20 +179,18 @@
     Optional<Claim> claim = fold.current(partition);
     boolean isOwner = owner.equals(Optional.of(ids.writer()));
     if (claim.isPresent() && claim.get().holder().equals(ids.writer())) {
-      return isOwner
-          ? replaceWitnesses(claim.get(), live)
-          : moveAway(claim.get(), owner, live, now);
+      return isOwner ? replaceReplicas(claim.get(), live) : moveAway(claim.get(), owner, live, now);
     }
-    boolean isFree = claim.isEmpty() || lifeSigns.silent(claim.get().holder());
+    boolean isFree = claim.isEmpty() || heartbeats.silent(claim.get().holder());
     return isOwner && isFree ? Optional.of(claim(partition, ids.writer(), live)) : Optional.empty();
   }
 
-  private Optional<RecordBody> replaceWitnesses(Claim claim, Set<InstanceId> live) {
+  private Optional<RecordBody> replaceReplicas(Claim claim, Set<InstanceId> live) {
     boolean isIntact = live.containsAll(claim.witnesses());
-    if (isIntact && claim.witnesses().size() == WitnessSelector.WITNESSES) {
+    if (isIntact && claim.witnesses().size() == ReplicaSelector.REPLICAS) {
       return Optional.empty();
     }
-    List<InstanceId> best = witnessSelector.select(claim.partition(), ids.writer(), live);
+    List<InstanceId> best = replicaSelector.select(claim.partition(), ids.writer(), live);
     int wanted = claim.witnesses().size() + (isIntact ? 1 : 0);
     return best.size() >= wanted
         ? Optional.of(claim(claim.partition(), ids.writer(), live))
@@ -213,8 +215,8 @@
   }
 
   private ClaimRecord claim(PartitionId partition, InstanceId holder, Set<InstanceId> live) {
-    List<InstanceId> witnesses = witnessSelector.select(partition, holder, live);
-    return new ClaimRecord(partition, holder, fold.epoch(partition), witnesses);
+    List<InstanceId> replicas = replicaSelector.select(partition, holder, live);
+    return new ClaimRecord(partition, holder, fold.epoch(partition), replicas);
   }
 
   private AppendRecord appendPending(PartitionId partition, RecordBody body) {
@@ -227,7 +229,7 @@
     return new AppendRecord(StreamName.CLAIMS, ids.next(), body);
   }
 
-  private void noteSeen(PartitionId partition, RecordId id, Instant now) {
+  private void onClaimChange(PartitionId partition, RecordId id, Instant now) {
     Pending own = pending.get(partition);
     if (own != null && own.id().equals(id)) {
       pending.remove(partition);
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/claim/support/MoveAtOncePolicy.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/claim/support/MoveAtOncePolicy.java
@@ -5,7 +5,10 @@
 import java.time.Instant;
 import java.util.Set;
 
-/** Places partitions over the instances in service, following each change at once. */
+/**
+ * Distributes partitions among the instances in service, and follows each change of these instances
+ * immediately.
+ */
 public final class MoveAtOncePolicy implements PlacementPolicy {
 
   @Override
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/claim/support/Placement.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/claim/support/Placement.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** The instance that each partition belongs to, worked out when the members change. */
+/** Owner of each partition, computed when the members of the placement change. */
 final class Placement {
 
   private final int partitions;
@@ -19,7 +19,7 @@
     this.partitions = partitions;
   }
 
-  /** Places all partitions over the members, unless these are the same as before. */
+  /** Distributes all partitions among the members, unless the members are the same as before. */
   void update(Set<InstanceId> newMembers) {
     if (newMembers.equals(members)) {
       return;
@@ -33,7 +33,7 @@
     owners = placed;
   }
 
-  /** Returns whom a partition belongs to; empty without members. */
+  /** Returns the owner of a partition; empty if there are no members. */
   Optional<InstanceId> owner(PartitionId partition) {
     return owners.isEmpty() ? Optional.empty() : Optional.of(owners.get(partition.value()));
   }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/claim/support/WitnessSelector.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/claim/support/ReplicaSelector.java
@@ -10,42 +10,44 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** Picks the witnesses of a claim. */
-final class WitnessSelector {
+/** Selects the replicas of a claim. */
+final class ReplicaSelector {
 
-  /** Witnesses of a claim, where there are enough instances. */
-  static final int WITNESSES = 2;
+  /** Number of replicas of a claim, if there are enough instances. */
+  static final int REPLICAS = 2;
 
-  private final LifeSigns lifeSigns;
+  private final Heartbeats heartbeats;
   private Set<InstanceId> rankedFor = Set.of();
   private RendezvousHash hash = new RendezvousHash(Set.of());
 
-  WitnessSelector(LifeSigns lifeSigns) {
-    this.lifeSigns = lifeSigns;
+  ReplicaSelector(Heartbeats heartbeats) {
+    this.heartbeats = heartbeats;
   }
 
   /**
-   * Returns two live instances other than the holder, in data centres of their own.
+   * Returns two live instances other than the holder. The holder and both instances run in three
+   * different data centres.
    *
-   * <p>Where there are too few data centres it takes what there is.
+   * <p>If there are too few data centres, data centres are used more than once. If there are too
+   * few instances, fewer than two are returned.
    */
   List<InstanceId> select(PartitionId partition, InstanceId holder, Set<InstanceId> live) {
     List<InstanceId> candidates = ranked(partition, live);
     candidates.remove(holder);
     Set<DataCentre> taken = new HashSet<>();
-    lifeSigns.dataCentre(holder).ifPresent(taken::add);
-    List<InstanceId> witnesses = new ArrayList<>();
+    heartbeats.dataCentre(holder).ifPresent(taken::add);
+    List<InstanceId> replicas = new ArrayList<>();
     for (InstanceId candidate : candidates) {
-      Optional<DataCentre> dataCentre = lifeSigns.dataCentre(candidate);
-      if (witnesses.size() < WITNESSES && dataCentre.isPresent() && taken.add(dataCentre.get())) {
-        witnesses.add(candidate);
+      Optional<DataCentre> dataCentre = heartbeats.dataCentre(candidate);
+      if (replicas.size() < REPLICAS && dataCentre.isPresent() && taken.add(dataCentre.get())) {
+        replicas.add(candidate);
       }
     }
-    candidates.removeAll(witnesses);
-    while (witnesses.size() < WITNESSES && !candidates.isEmpty()) {
-      witnesses.add(candidates.remove(0));
+    candidates.removeAll(replicas);
+    while (replicas.size() < REPLICAS && !candidates.isEmpty()) {
+      replicas.add(candidates.remove(0));
     }
-    return witnesses;
+    return replicas;
   }
 
   private List<InstanceId> ranked(PartitionId partition, Set<InstanceId> live) {
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/claim/support/package-info.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/claim/support/package-info.java
@@ -1,4 +1,7 @@
-/** The fold of the claims, the decider that makes them, and the policies that place partitions. */
+/**
+ * The fold of the stream of claims, the manager that claims partitions, and the placement of
+ * partitions.
+ */
 @NullMarked
 package io.hawthornlb.core.claim.support;
 
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/claim/support/BaselinePolicy.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/claim/support/BaselinePolicy.java
@@ -10,18 +10,20 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Places partitions over a baseline that follows the instances in service with a delay.
+ * Distributes partitions among a baseline of instances that follows the instances in service with a
+ * delay.
  *
- * <p>A soft timeout starts anew with each change of the instances in service; a hard timeout runs
- * from the first of them. Whichever ends first makes the instances then in service the baseline.
+ * <p>A soft timeout restarts with each change of the instances in service; a hard timeout starts
+ * with the first change. When the first of both timeouts ends, the instances that are in service
+ * become the new baseline.
  */
 public final class BaselinePolicy implements PlacementPolicy {
 
-  /** What becomes of the partitions of a baseline member that is not in service. */
+  /** Treatment of the partitions of a baseline member that is not in service. */
   public enum Absent {
-    /** They go to other members until it is back or the baseline changes. */
+    /** The partitions move to other members until the member is back or the baseline changes. */
     REPLACED,
-    /** They wait. */
+    /** The partitions stay with the absent member. */
     AWAITED
   }
 
@@ -33,9 +35,13 @@
   private @Nullable Instant firstChange;
   private Instant lastChange = Instant.MIN;
 
-  /** Creates a policy whose baseline is the first set of instances that it is given. */
+  /**
+   * Creates a policy whose first baseline is the first set of live instances that is passed to
+   * {@link #members}.
+   */
   public BaselinePolicy(Duration soft, Duration hard, Absent absent) {
-    Checks.isTrue(hard.compareTo(soft) >= 0, "the hard timeout must not be the shorter");
+    Checks.isTrue(
+        hard.compareTo(soft) >= 0, "the hard timeout must not be shorter than the soft timeout");
     this.soft = soft;
     this.hard = hard;
     this.absent = absent;
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/claim/support/ClaimFleet.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/claim/support/ClaimFleet.java
@@ -18,12 +18,15 @@
 import java.util.Optional;
 import java.util.function.Supplier;
 
-/** Claim managers over one list of records, on a clock that the test moves. */
+/**
+ * Fleet of claim managers that share one list of records as their log, with a clock that the test
+ * advances.
+ */
 final class ClaimFleet {
 
   static final Duration TICK = Duration.ofMillis(250);
 
-  /** One instance: its own fold and how far it has read. */
+  /** One instance, with its own fold and its own read position in the log. */
   final class Node {
 
     final InstanceId id;
@@ -54,7 +57,7 @@
   private final List<LogRecord> log = new ArrayList<>();
   private final List<AppendRecord> waiting = new ArrayList<>();
   private final Map<InstanceId, Node> nodes = new LinkedHashMap<>();
-  private final ClaimFold judge;
+  private final ClaimFold logFold;
   private Instant now = Instant.EPOCH;
   private int started;
   private int renewals;
@@ -66,14 +69,17 @@
     this.partitions = partitions;
     this.settings = settings;
     this.policies = policies;
-    this.judge = new ClaimFold(partitions);
+    this.logFold = new ClaimFold(partitions);
   }
 
   Node start(String dataCentre) {
     return start(new InstanceId(namePrefix + started++), dataCentre, 0);
   }
 
-  /** Starts an instance of a name whose earlier start has used some record ids. */
+  /**
+   * Starts an instance under a name that was used before, and skips the record ids that the earlier
+   * process used.
+   */
   Node start(InstanceId id, String dataCentre, int usedIds) {
     RecordIdSource ids = new RecordIdSource(id);
     for (int used = 0; used < usedIds; used++) {
@@ -114,7 +120,10 @@
     return renewals;
   }
 
-  /** Appends what was written in the last tick, lets all read and decide, and moves the clock. */
+  /**
+   * Appends the records of the last tick, runs each instance that is not paused, and advances the
+   * clock. Each instance reads the log and then decides.
+   */
   void tick() {
     if (!logDown) {
       waiting.forEach(this::append);
@@ -138,10 +147,10 @@
   }
 
   Optional<Claim> current(int partition) {
-    return judge.current(new PartitionId(partition));
+    return logFold.current(new PartitionId(partition));
   }
 
-  /** Returns the partitions whose holder is not running or that nobody holds. */
+  /** Returns the number of partitions that have no holder or whose holder is not running. */
   int unheld() {
     int unheld = 0;
     for (int partition = 0; partition < partitions; partition++) {
@@ -166,6 +175,6 @@
     renewals += effect.body() instanceof RenewalRecord ? 1 : 0;
     LogRecord entry = new LogRecord(log.size(), now, effect.id(), effect.body());
     log.add(entry);
-    judge.apply(entry);
+    logFold.apply(entry);
   }
 }
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/claim/support/ClaimFoldDifferentialTest.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/claim/support/ClaimFoldDifferentialTest.java
@@ -27,7 +27,7 @@
   private static final PartitionId PARTITION = new PartitionId(0);
 
   @Property(tries = 200, seed = "20261202")
-  void foldsLikeReplayingEverythingFromAnyRetainedOffset(
+  void foldFromAnyRetainedOffsetEqualsFullReplay(
       @ForAll long seed, @ForAll @IntRange(max = 80) int percentExpired) {
     List<LogRecord> stream = new ClaimHistory(seed, STEPS).stream();
     int first = stream.size() * percentExpired / 100;
@@ -40,8 +40,9 @@
     assertEquals(expected, holders(fold));
   }
 
-  // Two instances hold one partition in one epoch: both hand out the same items and take the same
-  // check-in. Every reader, however late, must know one holder of an epoch only, and epochs grow.
+  // Guards against two holders of one partition in one epoch, which would dispatch the same items
+  // and accept the same run-once requests. Every reader, however late, must see only one holder for
+  // an epoch, and the epochs of a partition must never decrease.
   @Property(tries = 100, seed = "20261202")
   void anEpochHasOneHolderForEveryReader(@ForAll long seed) {
     List<LogRecord> stream = new ClaimHistory(seed, STEPS).stream();
@@ -59,9 +60,9 @@
     }
   }
 
-  // Two instances find the holder silent and claim at the same moment.
+  // Two instances consider the holder silent and claim its partition at the same moment.
   @Test
-  void ofTwoClaimantsTheFirstInTheStreamWins() {
+  void firstOfTwoConcurrentClaimsInTheStreamWins() {
     ClaimFold fold = new ClaimFold(1);
     fold.apply(claim(0, "a", 0, Epoch.NONE));
     fold.apply(claim(1, "b", 0, new Epoch(0)));
@@ -71,10 +72,11 @@
     assertEquals(new Epoch(1), fold.epoch(PARTITION));
   }
 
-  // The answer to b's claim is lost; c supersedes b; then b's resend comes. Its second occurrence,
-  // applied as a claim of its own, would be void anyway, and so must be a claim by the paused a.
+  // The answer to the claim of b is lost, c supersedes b, and then the resent claim of b arrives.
+  // The resent claim is void even if it is not recognized as a duplicate, because its superseded
+  // epoch is no longer current. A claim by the paused holder a must be void for the same reason.
   @Test
-  void aResentClaimAndAPausedHolderChangeNothing() {
+  void resentClaimAndClaimOfAPausedHolderAreVoid() {
     ClaimFold fold = new ClaimFold(1);
     fold.apply(claim(0, "a", 0, Epoch.NONE));
     fold.apply(claim(1, "b", 0, new Epoch(0)));
@@ -86,7 +88,7 @@
   }
 
   @Test
-  void nobodyButTheHolderHandsAPartitionOver() {
+  void onlyTheHolderHandsAPartitionOver() {
     ClaimFold fold = new ClaimFold(1);
     fold.apply(claim(0, "a", 0, Epoch.NONE));
     fold.apply(record(1, "b", 0, handOver("c", new Epoch(0))));
@@ -97,7 +99,7 @@
   }
 
   @Test
-  void withoutTheSupersededEpochAPausedHolderTakesItsPartitionBack() {
+  void withoutTheEpochCheckAPausedHolderTakesItsPartitionBack() {
     List<LogRecord> stream =
         List.of(
             claim(0, "a", 0, Epoch.NONE),
@@ -109,7 +111,7 @@
   }
 
   @Test
-  void withoutTheSupersededEpochStaleClaimantsTakePartitionsInRandomHistories() {
+  void withoutTheEpochCheckStaleClaimantsTakePartitionsInRandomHistories() {
     List<LogRecord> stream = new ClaimHistory(1, STEPS).stream();
     int differing = 0;
     for (int end = 1; end <= stream.size(); end++) {
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/claim/support/ClaimHistory.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/claim/support/ClaimHistory.java
@@ -18,7 +18,10 @@
 import java.util.Optional;
 import java.util.Random;
 
-/** Claimants that each know the stream up to some offset of the past, and act on that. */
+/**
+ * Random history of the stream of claims. Each claimant has read the stream only up to some earlier
+ * offset, and acts on that stale state.
+ */
 final class ClaimHistory {
 
   static final int PARTITIONS = 3;
@@ -65,8 +68,8 @@
       default -> {
         boolean holds = claim.filter(each -> each.holder().equals(self)).isPresent();
         InstanceId holder = holds ? id(random.nextInt(CLAIMANTS)) : self;
-        List<InstanceId> witnesses = List.of(id(random.nextInt(CLAIMANTS)));
-        append(claimant, new ClaimRecord(partition, holder, fold.epoch(partition), witnesses));
+        List<InstanceId> replicas = List.of(id(random.nextInt(CLAIMANTS)));
+        append(claimant, new ClaimRecord(partition, holder, fold.epoch(partition), replicas));
       }
     }
   }
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/claim/support/DefaultClaimManagerTest.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/claim/support/DefaultClaimManagerTest.java
@@ -38,7 +38,7 @@
   }
 
   @Test
-  void everyPartitionIsHeldAndNothingMovesWithoutCause() {
+  void everyPartitionIsHeldAndNoneMovesWithoutCause() {
     assertEquals(0, fleet.unheld());
     List<Optional<InstanceId>> before = fleet.holders();
     long claims = claims();
@@ -51,7 +51,7 @@
   }
 
   @Test
-  void witnessesStandInThreeDataCentresWithTheHolder() {
+  void holderAndReplicasRunInThreeDataCentres() {
     Map<InstanceId, DataCentre> places =
         fleet.nodes().stream().collect(Collectors.toMap(node -> node.id, node -> node.dataCentre));
     for (int partition = 0; partition < PARTITIONS; partition++) {
@@ -62,10 +62,10 @@
     }
   }
 
-  // An instance is killed. Its jobs stand still until another claims its partitions, and requests
-  // that run once have one witness less.
+  // An instance is killed. The jobs of its partitions make no progress until another instance
+  // claims the partitions, and run-once requests have one replica less.
   @Test
-  void partitionsAndWitnessesOfALostInstanceAreReplaced() {
+  void partitionsAndReplicasOfALostInstanceAreReplaced() {
     ClaimFleet.Node lost = fleet.nodes().get(3);
     fleet.kill(lost);
     assertTrue(fleet.unheld() > 0);
@@ -78,28 +78,29 @@
     }
   }
 
-  // A holder is paused for a minute and wakes up. It does not know that others hold its partitions,
-  // and writes records of its dead epochs.
+  // A holder is paused for a minute and resumes. It does not know that other instances hold its
+  // partitions now, and writes records with superseded epochs.
   @Test
-  void aHolderThatWakesUpDoesNotTakeItsPartitionsBackFromTheirEpochs() {
-    ClaimFleet.Node sleeper = fleet.nodes().get(2);
+  void resumedHolderDoesNotTakeItsPartitionsBack() {
+    ClaimFleet.Node pausedNode = fleet.nodes().get(2);
     Set<Epoch> before = epochs();
-    sleeper.paused = true;
+    pausedNode.paused = true;
     fleet.run(Duration.ofMinutes(1));
     List<Optional<InstanceId>> taken = fleet.holders();
-    assertFalse(taken.contains(Optional.of(sleeper.id)));
+    assertFalse(taken.contains(Optional.of(pausedNode.id)));
 
-    fleet.stop(sleeper);
+    fleet.stop(pausedNode);
     fleet.tick();
 
     assertEquals(taken, fleet.holders());
     assertNotEquals(before, epochs());
   }
 
-  // The log is away for two minutes, so nobody can renew. When it is back, everybody's last record
-  // is old, and instances that judged by their clock alone would all take from each other.
+  // The log is unavailable for two minutes, so no instance can renew. When the log is back, the
+  // last record of every instance is old. Instances that measured silence by the clock would all
+  // take partitions from each other.
   @Test
-  void nobodyTakesOverBecauseTheLogWasAway() {
+  void noPartitionMovesAfterAnOutageOfTheLog() {
     List<Optional<InstanceId>> before = fleet.holders();
     long claims = claims();
     fleet.logDown = true;
@@ -113,27 +114,28 @@
     assertEquals(claims, claims());
   }
 
-  // One instance is paused for two minutes. By its own clock all others have been silent since.
+  // One instance is paused for two minutes. By its own clock, all other instances have been silent
+  // since then.
   @Test
-  void anObserverThatWasPausedTakesNothingOver() {
-    ClaimFleet.Node sleeper = fleet.nodes().get(2);
-    sleeper.paused = true;
+  void resumedObserverClaimsNoPartition() {
+    ClaimFleet.Node pausedNode = fleet.nodes().get(2);
+    pausedNode.paused = true;
     fleet.run(Duration.ofMinutes(2));
-    sleeper.paused = false;
+    pausedNode.paused = false;
     long end = fleet.log().size();
     fleet.run(Duration.ofSeconds(2));
 
-    long takenBySleeper =
+    long claimsOfPausedNode =
         fleet.log().stream()
             .filter(entry -> entry.offset() >= end)
-            .filter(entry -> entry.id().writer().equals(sleeper.id))
+            .filter(entry -> entry.id().writer().equals(pausedNode.id))
             .filter(entry -> entry.body() instanceof ClaimRecord)
             .count();
-    assertEquals(0, takenBySleeper);
+    assertEquals(0, claimsOfPausedNode);
   }
 
   @Test
-  void aGracefulStopLeavesNoPartitionWithoutHolder() {
+  void gracefulStopLeavesNoPartitionWithoutHolder() {
     ClaimFleet.Node leaving = fleet.nodes().get(5);
     fleet.stop(leaving);
     for (int tick = 0; tick < 40 && !leaving.manager.stopped(); tick++) {
@@ -147,7 +149,7 @@
   }
 
   @Test
-  void theLastInstanceReleasesWhatItHolds() {
+  void lastInstanceReleasesItsPartitions() {
     ClaimFleet alone = new ClaimFleet(4, ClaimSettings.DEFAULT, MoveAtOncePolicy::new);
     ClaimFleet.Node last = alone.start("dc-0");
     alone.run(SETTLED);
@@ -159,9 +161,9 @@
     assertEquals(List.of(Optional.empty()), alone.holders().stream().distinct().toList());
   }
 
-  // Everything is replaced at once: none of the new instances is known as a holder.
+  // All instances are replaced at the same moment, so no new instance holds a partition.
   @Test
-  void aFleetThatWasReplacedAtOnceTakesAllPartitions() {
+  void fullyReplacedFleetClaimsAllPartitions() {
     fleet.nodes().forEach(fleet::kill);
     fleet.startMany(8, 4);
 
@@ -171,7 +173,7 @@
   }
 
   @Test
-  void aNewInstanceGetsItsShareWithoutAGap() {
+  void newInstanceGetsItsShareWithoutUnheldPartitions() {
     ClaimFleet.Node added = fleet.start("dc-0");
     for (int tick = 0; tick < 80; tick++) {
       fleet.tick();
@@ -181,11 +183,12 @@
     assertTrue(fleet.holders().contains(Optional.of(added.id)));
   }
 
-  // Instances start and read the stream from its beginning, where they meet renewals of others that
-  // are long gone. Taken for life, these made them hand partitions to the dead: nobody answered for
-  // them until the others had found out once more.
+  // Guards against handovers to dead instances. New instances read the stream from its beginning,
+  // including renewals of instances that died long ago. If these renewals counted as heartbeats,
+  // the new instances would hand partitions to dead instances, and the partitions would have no
+  // running holder until the dead instances were found silent again.
   @Test
-  void newInstancesHandNothingToThoseThatDiedBeforeTheyStarted() {
+  void newInstancesHandNoPartitionToInstancesThatDiedBefore() {
     List<ClaimFleet.Node> dead = fleet.nodes().subList(0, 4);
     dead.forEach(fleet::kill);
     fleet.run(SETTLED);
@@ -196,10 +199,11 @@
     }
   }
 
-  // In a large fleet each instance renews every few seconds. One that has just started renewed each
-  // second, counted four of its own renewals, and found half of the fleet silent.
+  // Guards against takeovers by a new instance of a large fleet, in which each instance renews
+  // every few seconds. If the new instance renewed each second and counted four of its own renewals
+  // as silence, it would consider half of the fleet silent.
   @Test
-  void aNewInstanceOfALargeFleetTakesNothingFromThoseInService() {
+  void newInstanceOfALargeFleetClaimsNoPartitionOfLiveInstances() {
     ClaimSettings rare =
         new ClaimSettings(
             ClaimSettings.DEFAULT.renewalInterval(),
@@ -239,7 +243,10 @@
     return epochs;
   }
 
-  /** The naive judgement: whoever's last record is older than a time. */
+  /**
+   * Returns the instances that are silent by the clock: their last record is older than a given
+   * time.
+   */
   private Set<InstanceId> silentByClock(Duration time) {
     Map<InstanceId, LogRecord> last =
         fleet.log().stream()
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/claim/support/NaiveClaims.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/claim/support/NaiveClaims.java
@@ -13,12 +13,12 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** Naive twins of the claim fold: each replays the whole stream. */
+/** Naive reference implementations of the claim fold, which replay the whole stream. */
 final class NaiveClaims {
 
   private NaiveClaims() {}
 
-  /** Replays with the rules of validity. */
+  /** Replays the stream with all rules of validity. */
   static Map<PartitionId, Claim> replay(List<LogRecord> stream) {
     Map<PartitionId, Claim> holders = new TreeMap<>();
     Map<PartitionId, Epoch> epochs = new TreeMap<>();
@@ -49,7 +49,7 @@
     return holders;
   }
 
-  /** Without the check of the superseded epoch: the last claim wins. */
+  /** Replays the stream without the check of the superseded epoch, so that the last claim wins. */
   static Map<PartitionId, Claim> lastClaimWins(List<LogRecord> stream) {
     Map<PartitionId, Claim> holders = new TreeMap<>();
     for (LogRecord entry : stream) {
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/claim/support/PlacementBench.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/claim/support/PlacementBench.java
@@ -11,7 +11,10 @@
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 
-/** Weighs moving partitions at once against a baseline that follows with a delay. */
+/**
+ * Compares a placement that follows each change of the fleet immediately with one that follows a
+ * baseline with a delay.
+ */
 @Tag("bench")
 class PlacementBench {
 
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/claim/support/PlacementMeter.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/claim/support/PlacementMeter.java
@@ -10,7 +10,7 @@
 import java.util.function.Function;
 import java.util.stream.Collectors;
 
-/** Counts moves of partitions and the time that they are without a running holder. */
+/** Counts moves of partitions, and measures how long partitions are without a running holder. */
 final class PlacementMeter {
 
   private final ClaimFleet fleet;
@@ -51,8 +51,9 @@
   }
 
   /**
-   * Returns the cells of a table: moves, claims, seconds without holder in all and the longest,
-   * most held, renewals.
+   * Returns the cells of a table row: moves, claims, total seconds without a holder over all
+   * partitions, longest time of one partition without a holder in seconds, largest number of
+   * partitions of one instance, and renewals a second.
    */
   double[] values() {
     double second = ClaimFleet.TICK.toMillis() / 1_000.0;
