--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/ControlPlane.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/ControlPlane.java
@@ -14,7 +14,7 @@
 import io.hawthornlb.core.claim.support.ClaimFold;
 import io.hawthornlb.core.claim.support.ClaimSettings;
 import io.hawthornlb.core.claim.support.DefaultClaimManager;
-import io.hawthornlb.core.claim.support.MoveAtOncePolicy;
+import io.hawthornlb.core.claim.support.ImmediatePlacementPolicy;
 import io.hawthornlb.core.effect.AppendRecord;
 import io.hawthornlb.core.log.LogRecord;
 import io.hawthornlb.core.log.RecordIdSource;
@@ -68,7 +68,7 @@
             claimFold,
             ids,
             settings.instance().dataCentre(),
-            new MoveAtOncePolicy(),
+            new ImmediatePlacementPolicy(),
             clock,
             ClaimSettings.of(settings.claims().renew(), settings.claims().silence()));
   }
@@ -87,7 +87,7 @@
   /** Renews, claims and writes snapshots as time calls for; on the loop. */
   public void tick() {
     appendAll(claims.onTick());
-    appendAll(editor.onTick(claims.writesFirst(StreamName.CATALOGUE)));
+    appendAll(editor.onTick(claims.isPreferredSnapshotWriter(StreamName.CATALOGUE)));
   }
 
   /** Takes the instances that the platform lists; on the loop. */
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/catalogue/support/CatalogueFold.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/catalogue/support/CatalogueFold.java
@@ -117,14 +117,14 @@
     // and
     // do not apply either, until the instance is replaced.
     if (edit.rules() != checker.rules()) {
-      noteNewer();
+      noteNewerChange();
       return;
     }
     if (history.find(edit.editId()).isPresent()) {
       return;
     }
     if (edit.baseRevision() != current.revision()) {
-      if (!lacksNewer()) {
+      if (!lacksNewerChanges()) {
         history.add(lost(edit));
       }
       return;
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/claim/ClaimManager.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/claim/ClaimManager.java
@@ -52,5 +52,5 @@
    * Returns whether this instance is the preferred writer of the snapshots of a stream. Instances
    * may disagree for a while, which does no harm.
    */
-  boolean writesFirst(StreamName stream);
+  boolean isPreferredSnapshotWriter(StreamName stream);
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/claim/support/DefaultClaimManager.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/claim/support/DefaultClaimManager.java
@@ -110,7 +110,9 @@
     }
     if (fold.complete() && (leaving || heartbeats.settled())) {
       decideAll(now, live, effects);
-      snapshots.onTick(writesFirst(StreamName.CLAIMS)).forEach(part -> effects.add(append(part)));
+      snapshots
+          .onTick(isPreferredSnapshotWriter(StreamName.CLAIMS))
+          .forEach(part -> effects.add(append(part)));
     }
     return effects;
   }
@@ -139,7 +141,7 @@
   }
 
   @Override
-  public boolean writesFirst(StreamName stream) {
+  public boolean isPreferredSnapshotWriter(StreamName stream) {
     long key = stream.value().hashCode();
     return new RendezvousHash(live()).owner(key).equals(Optional.of(ids.writer()));
   }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/claim/support/MoveAtOncePolicy.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/claim/support/ImmediatePlacementPolicy.java
@@ -9,7 +9,7 @@
  * Distributes partitions among the instances in service, and follows each change of these instances
  * immediately.
  */
-public final class MoveAtOncePolicy implements PlacementPolicy {
+public final class ImmediatePlacementPolicy implements PlacementPolicy {
 
   @Override
   public Set<InstanceId> members(Set<InstanceId> live, Instant now) {
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/log/support/AbstractStreamFold.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/log/support/AbstractStreamFold.java
@@ -30,7 +30,7 @@
   private final SnapshotAge snapshotAge = new SnapshotAge();
   private long nextOffset;
   private long stateOffset;
-  private boolean lacksNewer;
+  private boolean lacksNewerChanges;
 
   /**
    * Creates an empty fold that expects the records from offset zero on.
@@ -82,7 +82,7 @@
    * snapshot without its effect would make the newer version forget it.
    */
   public final List<P> snapshot() {
-    if (!complete() || lacksNewer) {
+    if (!complete() || lacksNewerChanges) {
       return List.of();
     }
     return createSnapshot(nextOffset, duplicates.windows());
@@ -94,13 +94,13 @@
   }
 
   /** Returns whether the state lacks the effect of a record or snapshot of a newer version. */
-  public final boolean lacksNewer() {
-    return lacksNewer;
+  public final boolean lacksNewerChanges() {
+    return lacksNewerChanges;
   }
 
   /** Notes that a record rests on rules that this version does not know. */
-  protected final void noteNewer() {
-    lacksNewer = true;
+  protected final void noteNewerChange() {
+    lacksNewerChanges = true;
   }
 
   /** Applies a record that is neither a duplicate nor a snapshot; void if it does not fit. */
@@ -140,7 +140,7 @@
     P first = parts.get(0);
     install(parts);
     duplicates.install(first.writers());
-    lacksNewer = first.version() > version;
+    lacksNewerChanges = first.version() > version;
     stateOffset = first.upTo();
     assembly.takeKept(stateOffset).forEach(this::applyInOrder);
     stateOffset = nextOffset;
@@ -154,7 +154,7 @@
       return;
     }
     if (entry.body() instanceof UnknownRecord) {
-      lacksNewer = true;
+      lacksNewerChanges = true;
     } else if (!(entry.body() instanceof PassedPart)) {
       applyFirst(entry);
     }
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/catalogue/support/CatalogueFoldTest.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/catalogue/support/CatalogueFoldTest.java
@@ -155,7 +155,7 @@
     apply(edit("next", 1, "ana").put(CatalogueHistory.workspace(1, 3)).build());
 
     assertEquals(0, fold.current().revision());
-    assertTrue(fold.lacksNewer());
+    assertTrue(fold.lacksNewerChanges());
     assertEquals(List.of(), fold.snapshot());
     assertTrue(fold.outcome("next").isEmpty());
   }
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/claim/support/DefaultClaimManagerTest.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/claim/support/DefaultClaimManagerTest.java
@@ -29,7 +29,7 @@
   private static final Duration SETTLED = Duration.ofSeconds(20);
 
   private final ClaimFleet fleet =
-      new ClaimFleet(PARTITIONS, ClaimSettings.DEFAULT, MoveAtOncePolicy::new);
+      new ClaimFleet(PARTITIONS, ClaimSettings.DEFAULT, ImmediatePlacementPolicy::new);
 
   @BeforeEach
   void startFleet() {
@@ -150,7 +150,7 @@
 
   @Test
   void lastInstanceReleasesItsPartitions() {
-    ClaimFleet alone = new ClaimFleet(4, ClaimSettings.DEFAULT, MoveAtOncePolicy::new);
+    ClaimFleet alone = new ClaimFleet(4, ClaimSettings.DEFAULT, ImmediatePlacementPolicy::new);
     ClaimFleet.Node last = alone.start("dc-0");
     alone.run(SETTLED);
     assertEquals(0, alone.unheld());
@@ -213,7 +213,7 @@
             ClaimSettings.DEFAULT.shortestHold(),
             ClaimSettings.DEFAULT.appendTimeout(),
             ClaimSettings.DEFAULT.snapshots());
-    ClaimFleet large = new ClaimFleet(PARTITIONS, rare, MoveAtOncePolicy::new);
+    ClaimFleet large = new ClaimFleet(PARTITIONS, rare, ImmediatePlacementPolicy::new);
     large.startMany(9, 3);
     large.run(Duration.ofMinutes(3));
     assertEquals(0, large.unheld());
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/claim/support/PlacementBench.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/claim/support/PlacementBench.java
@@ -28,7 +28,7 @@
 
   private static Map<String, Supplier<PlacementPolicy>> policies() {
     Map<String, Supplier<PlacementPolicy>> policies = new LinkedHashMap<>();
-    policies.put("at once", MoveAtOncePolicy::new);
+    policies.put("at once", ImmediatePlacementPolicy::new);
     policies.put("30/120 s, awaited", () -> baseline(120, BaselinePolicy.Absent.AWAITED));
     policies.put("30/120 s, replaced", () -> baseline(120, BaselinePolicy.Absent.REPLACED));
     policies.put("30/600 s, replaced", () -> baseline(600, BaselinePolicy.Absent.REPLACED));
