--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/log/LogRecord.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/log/LogRecord.java
@@ -4,12 +4,12 @@
 import java.time.Instant;
 
 /**
- * One record as it stands in a stream.
+ * One record of a stream, as the platform log stores it.
  *
- * @param offset its place in the stream
- * @param appendedAt when the platform took it, by the platform's clock
- * @param id identifies the record through resends
- * @param body its content
+ * @param offset the position of the record in the stream
+ * @param appendedAt when the platform stored the record, by the platform's clock
+ * @param id identifies the record across resends
+ * @param body the content of the record
  */
 public record LogRecord(long offset, Instant appendedAt, RecordId id, RecordBody body) {
 
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/log/RecordId.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/log/RecordId.java
@@ -4,17 +4,17 @@
 import io.hawthornlb.core.util.Checks;
 
 /**
- * Identifies one record through every resend of it.
+ * Identifies one record across all its resends.
  *
- * <p>An append whose answer was lost is sent again with the same id, and folds drop the second
+ * <p>An append whose answer was lost is resent with the same id, and folds drop the second
  * occurrence.
  *
- * @param writer the instance that made the record
- * @param sequence the number of the record among those of its writer, from zero
+ * @param writer the instance that created the record
+ * @param sequence the number of the record among all records of its writer, from zero
  */
 public record RecordId(InstanceId writer, long sequence) {
 
-  /** Checks the number. */
+  /** Checks the sequence number. */
   public RecordId {
     Checks.notNegative(sequence, "sequence");
   }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/log/RecordIdSource.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/log/RecordIdSource.java
@@ -3,17 +3,20 @@
 import io.hawthornlb.core.model.InstanceId;
 
 /**
- * Numbers the records of one writer.
+ * Creates the ids of the records of one writer.
  *
- * <p>An instance has exactly one, shared by everything in it that writes: two records under one id
- * would pass for one record and its resend. Confined to the core's thread.
+ * <p>An instance has exactly one source, shared by all its components that write records: if two
+ * records had the same id, the second would be dropped as a resend of the first. Confined to the
+ * core's thread.
  */
 public final class RecordIdSource {
 
   private final InstanceId writer;
   private long next;
 
-  /** Creates a source that starts at zero; the writer must be new with each process start. */
+  /**
+   * Creates a source whose sequence starts at zero. Each process start must use a new writer id.
+   */
   public RecordIdSource(InstanceId writer) {
     this.writer = writer;
   }
@@ -23,7 +26,7 @@
     return writer;
   }
 
-  /** Returns an id that was never returned before. */
+  /** Returns an id that this source has not returned before. */
   public RecordId next() {
     return new RecordId(writer, next++);
   }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/log/StreamFold.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/log/StreamFold.java
@@ -1,20 +1,20 @@
 package io.hawthornlb.core.log;
 
 /**
- * Deterministic state of one stream.
+ * Deterministic state of one stream, made by applying the records of the stream.
  *
- * <p>Every instance that applies the same records in the order of their offsets holds the same
- * state. A record that does not fit the state at its offset is void and changes nothing.
+ * <p>All instances that apply the same records in the order of their offsets have the same state. A
+ * record that does not fit the state at its offset is void and changes nothing.
  */
 public interface StreamFold {
 
   /**
    * Applies the next record.
    *
-   * @throws IllegalArgumentException if the offset is not above every offset applied before
+   * @throws IllegalArgumentException if the offset is not above all offsets applied before
    */
   void apply(LogRecord entry);
 
-  /** Returns the offset after the last applied record; the place to read on from. */
+  /** Returns the offset after the last applied record, from which to continue reading. */
   long nextOffset();
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/log/StreamName.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/log/StreamName.java
@@ -3,10 +3,10 @@
 import io.hawthornlb.core.model.PartitionId;
 import io.hawthornlb.core.util.Checks;
 
-/** Names one stream of the platform log; each stream counts its own offsets from zero. */
+/** Name of a stream of the platform log. Each stream has its own offsets, which start at zero. */
 public record StreamName(String value) {
 
-  /** The stream on which operators publish the catalogue. */
+  /** The stream to which operators publish the catalogue. */
   public static final StreamName CATALOGUE = new StreamName("catalogue");
 
   /** The stream of claims, renewals and releases of partitions. */
@@ -17,7 +17,7 @@
     Checks.hasText(value, "stream name");
   }
 
-  /** Returns the stream that holds the jobs and run-once requests of a partition. */
+  /** Returns the name of the stream that contains the jobs and run-once requests of a partition. */
   public static StreamName ofPartition(PartitionId partition) {
     return new StreamName("partition-" + partition.value());
   }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/log/UnknownRecord.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/log/UnknownRecord.java
@@ -3,10 +3,10 @@
 import io.hawthornlb.core.util.Checks;
 
 /**
- * Stands for a record whose type this version does not know.
+ * Placeholder for a record whose type this version does not know.
  *
- * <p>Folds pass over it, but write no snapshot of the stream after it: their state lacks what the
- * record did.
+ * <p>A fold ignores the record, but writes no snapshot of the stream afterwards, because its state
+ * lacks the effect of the record.
  *
  * @param typeName the type name on the wire
  */
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/log/WriterWindow.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/log/WriterWindow.java
@@ -4,15 +4,16 @@
 import java.util.List;
 
 /**
- * The last records of one writer in one stream.
+ * Sequence numbers of the last records of one writer in one stream, kept to recognize duplicates.
  *
  * @param writer the writer
- * @param floor the highest sequence that is no longer kept, or -1; lower ones count as duplicates
- * @param sequences the sequences above the floor that were applied, ascending
+ * @param floor the highest sequence number that is no longer kept, or -1 if there is none; this
+ *     number and all lower ones count as duplicates
+ * @param sequences the sequence numbers above the floor that were applied, ascending
  */
 public record WriterWindow(InstanceId writer, long floor, List<Long> sequences) {
 
-  /** Copies the sequences. */
+  /** Copies the sequence numbers. */
   public WriterWindow {
     sequences = List.copyOf(sequences);
   }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/log/package-info.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/log/package-info.java
@@ -1,4 +1,4 @@
-/** Records of the platform log and the contract of whatever folds them. */
+/** Records of the platform log, and the interfaces of the folds that apply them. */
 @NullMarked
 package io.hawthornlb.core.log;
 
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/log/support/AbstractStreamFold.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/log/support/AbstractStreamFold.java
@@ -11,17 +11,20 @@
 import java.util.Optional;
 
 /**
- * Base of the folds: keeps offsets in order, drops duplicates, and starts from snapshots.
+ * Base class of folds: checks the order of offsets, drops duplicates, and starts from snapshots.
  *
- * <p>Subclasses hold the state and say what a record does to it. While records are missing the
- * state stays as it was, and records are kept until a snapshot comes that covers the gap.
+ * <p>Subclasses hold the state and define how a record changes it. While records are missing, the
+ * state does not change, and further records are kept until a snapshot arrives that covers the gap.
  *
  * @param <P> the type of the snapshot parts of the stream
  */
 public abstract class AbstractStreamFold<P extends SnapshotPart> implements SnapshotFold {
 
-  /** Takes the place of a snapshot part among the kept records; only its id still matters. */
-  private record PassedPart() implements RecordBody {}
+  /**
+   * Replaces a snapshot part among the kept records, because only the record id of the part is
+   * still needed.
+   */
+  private record ReplacedPart() implements RecordBody {}
 
   private final Class<P> partType;
   private final int version;
@@ -33,9 +36,10 @@
   private boolean lacksNewerChanges;
 
   /**
-   * Creates an empty fold that expects the records from offset zero on.
+   * Creates an empty fold that expects records from offset zero on.
    *
-   * @param version the version of the snapshots that it writes
+   * @param partType the type of the snapshot parts
+   * @param version the version of the snapshots that the fold writes
    */
   protected AbstractStreamFold(Class<P> partType, int version) {
     this.partType = partType;
@@ -47,12 +51,12 @@
   public final void apply(LogRecord entry) {
     Checks.isTrue(
         entry.offset() >= nextOffset,
-        "offset " + entry.offset() + " was applied before; next is " + nextOffset);
+        "offset " + entry.offset() + " was already applied; next is " + nextOffset);
     boolean whole = complete();
     nextOffset = entry.offset() + 1;
     snapshotAge.noteRecord(entry.appendedAt());
     if (partType.isInstance(entry.body())) {
-      notePart(entry, partType.cast(entry.body()), whole);
+      onSnapshotPart(entry, partType.cast(entry.body()), whole);
     } else {
       applyOrKeep(entry, whole);
     }
@@ -70,7 +74,7 @@
 
   @Override
   public final void restartAt(long firstOffset) {
-    Checks.isTrue(firstOffset >= stateOffset, "the fold is already past offset " + firstOffset);
+    Checks.isTrue(firstOffset >= stateOffset, "the fold has already applied offset " + firstOffset);
     nextOffset = firstOffset;
     assembly.restart(firstOffset);
   }
@@ -78,8 +82,9 @@
   /**
    * Returns the parts of a snapshot of the state up to {@link #nextOffset()}.
    *
-   * <p>Empty while the state is not complete, and after a record or snapshot of a newer version: a
-   * snapshot without its effect would make the newer version forget it.
+   * <p>Returns an empty list while the state is not complete, and after a record or snapshot of a
+   * newer version. A snapshot would lack the effect of that record, and instances of the newer
+   * version that start from the snapshot would lose it.
    */
   public final List<P> snapshot() {
     if (!complete() || lacksNewerChanges) {
@@ -88,7 +93,10 @@
     return createSnapshot(nextOffset, duplicates.windows());
   }
 
-  /** Returns what a {@link SnapshotPolicy} needs to know. */
+  /**
+   * Returns the age of the last snapshot, from which a {@link SnapshotPolicy} decides whether the
+   * next one is due.
+   */
   public final SnapshotAge snapshotAge() {
     return snapshotAge;
   }
@@ -98,18 +106,24 @@
     return lacksNewerChanges;
   }
 
-  /** Notes that a record rests on rules that this version does not know. */
+  /**
+   * Marks the state as lacking a change, because a record depends on rules that this version does
+   * not know.
+   */
   protected final void noteNewerChange() {
     lacksNewerChanges = true;
   }
 
-  /** Applies a record that is neither a duplicate nor a snapshot; void if it does not fit. */
+  /**
+   * Applies a record that is neither a duplicate nor a snapshot part. A record that does not fit
+   * the state is void and changes nothing.
+   */
   protected abstract void applyFirst(LogRecord entry);
 
-  /** Creates the parts of a snapshot of the state; the first part carries the writers. */
+  /** Creates the parts of a snapshot of the state. Only the first part contains the writers. */
   protected abstract List<P> createSnapshot(long upTo, List<WriterWindow> writers);
 
-  /** Replaces the state by that of a snapshot, whose parts are in order. */
+  /** Replaces the state by the state of a snapshot, whose parts are passed in order. */
   protected abstract void install(List<P> parts);
 
   private void applyOrKeep(LogRecord entry, boolean whole) {
@@ -120,17 +134,17 @@
     }
   }
 
-  private void notePart(LogRecord entry, P part, boolean whole) {
+  private void onSnapshotPart(LogRecord entry, P part, boolean whole) {
     applyOrKeep(
-        new LogRecord(entry.offset(), entry.appendedAt(), entry.id(), new PassedPart()), whole);
+        new LogRecord(entry.offset(), entry.appendedAt(), entry.id(), new ReplacedPart()), whole);
     Optional<List<P>> parts = assembly.add(entry.id().writer(), part);
     if (parts.isEmpty()) {
       return;
     }
     snapshotAge.noteSnapshot(entry, part.upTo());
-    // A snapshot that was written by a paused instance or read late is older than the state. It
-    // would show as state that goes back. A complete fold therefore never takes one, and an
-    // incomplete one only if it has every record after the snapshot.
+    // A snapshot that a paused instance wrote, or that is read late, can be older than the state.
+    // Installing it would move the state back. So a complete fold never installs a snapshot, and an
+    // incomplete fold installs one only if the fold has every record after the snapshot.
     if (!whole && assembly.covers(part.upTo())) {
       startFrom(parts.get());
     }
@@ -148,14 +162,14 @@
 
   private void applyInOrder(LogRecord entry) {
     stateOffset = entry.offset() + 1;
-    // An append whose answer was lost is sent again, so a record can stand in the stream twice. It
-    // would show as an effect that happens twice. The second occurrence has the same id.
+    // An append whose answer was lost is resent, so the stream can contain a record twice, with the
+    // same id. Applying both occurrences would repeat the effect of the record.
     if (!duplicates.isFirst(entry.id())) {
       return;
     }
     if (entry.body() instanceof UnknownRecord) {
       lacksNewerChanges = true;
-    } else if (!(entry.body() instanceof PassedPart)) {
+    } else if (!(entry.body() instanceof ReplacedPart)) {
       applyFirst(entry);
     }
   }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/log/support/DuplicateFilter.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/log/support/DuplicateFilter.java
@@ -12,24 +12,25 @@
 import java.util.Map;
 
 /**
- * Tells the second occurrence of a record from the first, in bounded memory.
+ * Recognizes second occurrences of records, in bounded memory.
  *
- * <p>Of each writer the last {@link #WINDOW} sequences are kept; anything below them counts as a
- * duplicate, because writers do not let records of one stream overtake each other by more. Writers
- * leave in the order of their last record once there are more than {@link #MAX_WRITERS}. Both
- * bounds follow from the content of the stream alone, so every instance drops the same records.
+ * <p>The filter keeps the last {@link #WINDOW} sequence numbers of each writer. A number below the
+ * kept ones counts as a duplicate, because the records of one writer never overtake each other in a
+ * stream by more than that. If there are more than {@link #MAX_WRITERS} writers, the filter removes
+ * the writer whose last record is the oldest. Both rules depend only on the content of the stream,
+ * so every instance drops the same records.
  */
 final class DuplicateFilter {
 
-  /** Sequences kept of each writer. */
+  /** Number of sequence numbers kept for each writer. */
   static final int WINDOW = 64;
 
-  /** Writers kept. */
+  /** Largest number of writers kept. */
   static final int MAX_WRITERS = 1_024;
 
   private final Map<InstanceId, Window> windows = new LinkedHashMap<>();
 
-  /** Notes a record; returns whether it is the first occurrence. */
+  /** Records the id of a record, and returns whether this is its first occurrence. */
   boolean isFirst(RecordId id) {
     Window window = windows.remove(id.writer());
     if (window == null) {
@@ -40,7 +41,10 @@
     return window.add(id.sequence());
   }
 
-  /** Returns the windows, the writer that is silent for longest first. */
+  /**
+   * Returns the windows of all writers, ordered by the last record of each writer, the oldest
+   * first.
+   */
   List<WriterWindow> windows() {
     List<WriterWindow> copy = new ArrayList<>(windows.size());
     windows.forEach(
@@ -48,7 +52,7 @@
     return copy;
   }
 
-  /** Replaces what was noted. */
+  /** Replaces the state of the filter by the windows of a snapshot. */
   void install(List<WriterWindow> copy) {
     Checks.isTrue(copy.size() <= MAX_WRITERS, "too many writers in a snapshot");
     windows.clear();
@@ -66,7 +70,8 @@
   }
 
   /**
-   * Sequences in ascending order; a plain array, as there is a window for each writer and stream.
+   * Sequence numbers in ascending order. They are kept in a plain array to save memory, because
+   * there is a window for each writer in each stream.
    */
   private static final class Window {
 
@@ -87,11 +92,11 @@
     }
 
     boolean add(long sequence) {
-      int place = Arrays.binarySearch(sequences, 0, size, sequence);
-      if (sequence <= floor || place >= 0) {
+      int index = Arrays.binarySearch(sequences, 0, size, sequence);
+      if (sequence <= floor || index >= 0) {
         return false;
       }
-      insert(-place - 1, sequence);
+      insert(-index - 1, sequence);
       if (size > WINDOW) {
         floor = sequences[0];
         size--;
@@ -104,12 +109,12 @@
       return Arrays.stream(sequences, 0, size).boxed().toList();
     }
 
-    private void insert(int place, long sequence) {
+    private void insert(int index, long sequence) {
       if (size == sequences.length) {
         sequences = Arrays.copyOf(sequences, Math.min(2 * size + FIRST_CAPACITY, WINDOW + 1));
       }
-      System.arraycopy(sequences, place, sequences, place + 1, size - place);
-      sequences[place] = sequence;
+      System.arraycopy(sequences, index, sequences, index + 1, size - index);
+      sequences[index] = sequence;
       size++;
     }
   }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/log/support/SnapshotAge.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/log/support/SnapshotAge.java
@@ -3,7 +3,7 @@
 import io.hawthornlb.core.log.LogRecord;
 import java.time.Instant;
 
-/** How far a stream has gone on since its last whole snapshot. */
+/** Age of the last complete snapshot of a stream, in time and in number of records. */
 public final class SnapshotAge {
 
   private Instant lastRecordAt = Instant.EPOCH;
@@ -19,12 +19,15 @@
     return lastRecordAt;
   }
 
-  /** Returns since when state is held by records alone; {@link Instant#MAX} without records. */
+  /**
+   * Returns since when no snapshot has covered new records: the time of the last snapshot, or of
+   * the first record if there is no snapshot; {@link Instant#MAX} if there are no records.
+   */
   public Instant unsavedSince() {
     return lastSnapshotAt.equals(Instant.MAX) ? firstRecordAt : lastSnapshotAt;
   }
 
-  /** Returns how many records have followed the last snapshot. */
+  /** Returns the number of records since the last snapshot. */
   public long recordsSince() {
     return recordsSince;
   }
@@ -37,7 +40,10 @@
     recordsSince++;
   }
 
-  /** Notes the last part of a snapshot; one that is older than the last does not count. */
+  /**
+   * Processes the last part of a snapshot. A snapshot that covers less than an earlier one is
+   * ignored.
+   */
   void noteSnapshot(LogRecord lastPart, long upTo) {
     if (upTo <= lastUpTo) {
       return;
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/log/support/SnapshotSchedule.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/log/support/SnapshotSchedule.java
@@ -7,7 +7,7 @@
 import java.util.List;
 
 /**
- * Gives the state of a fold to be written again when its policy says so.
+ * Creates a snapshot of a fold whenever the snapshot policy says that one is due.
  *
  * <p>Confined to the thread of the fold.
  *
@@ -15,15 +15,15 @@
  */
 public final class SnapshotSchedule<P extends SnapshotPart> {
 
-  /** Time for a snapshot to show up in the stream before another is written. */
-  private static final Duration PATIENCE = Duration.ofSeconds(60);
+  /** Time for a snapshot to appear in the stream before this instance writes another one. */
+  private static final Duration APPEARANCE_TIMEOUT = Duration.ofSeconds(60);
 
   private final AbstractStreamFold<P> fold;
   private final SnapshotPolicy policy;
   private final InstantSource clock;
   private Instant notBefore = Instant.MIN;
 
-  /** Creates a schedule for one fold. */
+  /** Creates the schedule of one fold. */
   public SnapshotSchedule(AbstractStreamFold<P> fold, SnapshotPolicy policy, InstantSource clock) {
     this.fold = fold;
     this.policy = policy;
@@ -31,16 +31,16 @@
   }
 
   /**
-   * Returns the parts of a snapshot to append when one is due, else none.
+   * Returns the parts of a snapshot to append if one is due, and an empty list otherwise.
    *
-   * @param first whether this instance writes before the others
+   * @param preferredWriter whether this instance is the preferred writer of snapshots
    */
-  public List<P> onTick(boolean first) {
+  public List<P> onTick(boolean preferredWriter) {
     Instant now = clock.instant();
-    if (now.isBefore(notBefore) || !policy.due(fold.snapshotAge(), now, first)) {
+    if (now.isBefore(notBefore) || !policy.due(fold.snapshotAge(), now, preferredWriter)) {
       return List.of();
     }
-    notBefore = now.plus(PATIENCE);
+    notBefore = now.plus(APPEARANCE_TIMEOUT);
     return fold.snapshot();
   }
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/log/support/package-info.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/log/support/package-info.java
@@ -1,4 +1,4 @@
-/** Base of the folds: duplicates, snapshots and when to write one. */
+/** Base class of folds, the filter of duplicates, and the assembly and scheduling of snapshots. */
 @NullMarked
 package io.hawthornlb.core.log.support;
 
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/log/support/DuplicateFilterTest.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/log/support/DuplicateFilterTest.java
@@ -13,7 +13,7 @@
   private final DuplicateFilter filter = new DuplicateFilter();
 
   @Test
-  void passesEachRecordOnceWhateverTheOrder() {
+  void passesEachRecordOnceInAnyOrder() {
     assertTrue(filter.isFirst(id("a", 5)));
     assertTrue(filter.isFirst(id("a", 3)));
     assertFalse(filter.isFirst(id("a", 5)));
@@ -22,7 +22,7 @@
   }
 
   @Test
-  void dropsWhatIsBelowTheWindow() {
+  void dropsRecordsBelowTheWindow() {
     for (int sequence = 1; sequence <= DuplicateFilter.WINDOW + 1; sequence++) {
       assertTrue(filter.isFirst(id("a", sequence)));
     }
@@ -31,7 +31,7 @@
   }
 
   @Test
-  void forgetsTheWriterThatIsSilentForLongest() {
+  void removesTheWriterWithTheOldestLastRecord() {
     filter.isFirst(id("old", 1));
     for (int writer = 0; writer < DuplicateFilter.MAX_WRITERS; writer++) {
       filter.isFirst(id("w" + writer, 1));
@@ -41,7 +41,7 @@
   }
 
   @Test
-  void goesOnFromACopyLikeTheOriginal() {
+  void copyFiltersLikeTheOriginal() {
     for (int sequence = 0; sequence < 200; sequence += 2) {
       filter.isFirst(id("a", sequence));
       filter.isFirst(id("b" + sequence, 1));
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/log/support/FoldCostBench.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/log/support/FoldCostBench.java
@@ -24,7 +24,10 @@
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 
-/** Processor time a record and memory an entry of the folds, at three sizes each. */
+/**
+ * Measures processor time for each record and memory for each entry of the folds, at three sizes
+ * each.
+ */
 @Tag("bench")
 class FoldCostBench {
 
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/log/support/ReplayEverythingFold.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/log/support/FullReplayFold.java
@@ -8,10 +8,10 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** The naive twin: replays the whole stream and remembers every record id for ever. */
-final class ReplayEverythingFold {
+/** Naive reference implementation, which replays the whole stream and keeps every record id. */
+final class FullReplayFold {
 
-  private ReplayEverythingFold() {}
+  private FullReplayFold() {}
 
   static Map<Integer, RegisterState> replay(List<LogRecord> stream) {
     Map<Integer, RegisterState> registers = new TreeMap<>();
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/log/support/RegisterFold.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/log/support/RegisterFold.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Sums of registers, with a snapshot in two parts. */
+/** Test fold that computes values of registers, with a snapshot in two parts. */
 final class RegisterFold extends AbstractStreamFold<RegisterSnapshot> {
 
   private static final int PARTS = 2;
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/log/support/RegisterPut.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/log/support/RegisterPut.java
@@ -3,10 +3,10 @@
 import io.hawthornlb.core.log.RecordBody;
 
 /**
- * Puts a value into a register, valid only if the register holds the expected version.
+ * Adds a value to a register. The record is valid only if the register has the expected version.
  *
- * @param register the register
- * @param expectedVersion the version that it must hold, or -1 to add to whatever it holds
- * @param value what is added
+ * @param register the number of the register
+ * @param expectedVersion the version that the register must have, or -1 to accept any version
+ * @param value the added value
  */
 record RegisterPut(int register, long expectedVersion, long value) implements RecordBody {}
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/log/support/SnapshotPolicyTest.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/log/support/SnapshotPolicyTest.java
@@ -22,7 +22,7 @@
   private final RegisterFold fold = new RegisterFold();
 
   @Test
-  void isDueByCountFirstForTheFirstWriter() {
+  void isDueByCountEarlierForThePreferredWriter() {
     put(3);
     assertTrue(POLICY.due(fold.snapshotAge(), now(), true));
     assertFalse(POLICY.due(fold.snapshotAge(), now(), false));
@@ -31,7 +31,7 @@
   }
 
   @Test
-  void isDueByAgeInAQuietStream() {
+  void isDueByAgeInAnIdleStream() {
     assertFalse(POLICY.due(fold.snapshotAge(), Instant.EPOCH.plusSeconds(99_999), true));
     put(1);
     assertFalse(POLICY.due(fold.snapshotAge(), Instant.EPOCH.plusSeconds(600), true));
@@ -39,7 +39,7 @@
   }
 
   @Test
-  void isNotDueAfterASnapshotButForAnOlderOne() {
+  void isNotDueAfterASnapshotAndIgnoresAnOlderSnapshot() {
     put(2);
     List<RegisterSnapshot> old = fold.snapshot();
     put(4);
@@ -50,10 +50,11 @@
     assertEquals(4, fold.snapshotAge().recordsSince());
   }
 
-  // During an upgrade an old version reads records of a type that it does not know. A snapshot of
-  // its state would lack their effect, and after the log has expired everyone would have lost it.
+  // Guards against data loss during an upgrade: an old version reads records of a type that it does
+  // not know. A snapshot of its state would lack the effect of these records, and after the records
+  // have expired, all instances would have lost it.
   @Test
-  void aVersionThatLacksARecordTypeWritesNoSnapshot() {
+  void versionThatLacksARecordTypeWritesNoSnapshot() {
     put(1);
     assertEquals(2, fold.snapshot().size());
     apply(new UnknownRecord("newer"));
@@ -61,7 +62,7 @@
   }
 
   @Test
-  void aVersionThatStartedFromANewerSnapshotWritesNone() {
+  void versionThatStartedFromANewerSnapshotWritesNoSnapshot() {
     fold.restartAt(7);
     RegisterSnapshot newer =
         new RegisterSnapshot(2, 7, 0, 1, List.of(), java.util.Map.of(1, RegisterState.ZERO));
@@ -72,7 +73,7 @@
   }
 
   @Test
-  void refusesToGoBack() {
+  void rejectsLowerOffsets() {
     put(3);
     assertThrows(IllegalArgumentException.class, () -> fold.restartAt(2));
     assertThrows(
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/log/support/StreamFoldDifferentialTest.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/log/support/StreamFoldDifferentialTest.java
@@ -16,11 +16,11 @@
 
   private static final int STEPS = 300;
 
-  // An entry that boots late, from a snapshot and what the log still retains, must decide exactly
-  // as one that has read the stream from its first record. Otherwise two entries hold different
-  // jobs, and an item is done twice or by nobody.
+  // An instance that starts from a snapshot and the records that the log still retains must have
+  // exactly the same state as an instance that has read the stream from its first record. Otherwise
+  // two instances know different jobs, and an item runs twice or never.
   @Property(tries = 400, seed = "20261202")
-  void startingAtAnyRetainedOffsetEqualsReplayingEverything(
+  void startAtAnyRetainedOffsetEqualsFullReplay(
       @ForAll long seed, @ForAll @IntRange(max = 100) int percentExpired) {
     List<LogRecord> stream = new StreamHistory(seed, STEPS).stream();
     int first = stream.size() * percentExpired / 100;
@@ -30,15 +30,16 @@
     stream.subList(first, stream.size()).forEach(fold::apply);
 
     if (fold.complete()) {
-      assertEquals(ReplayEverythingFold.replay(stream), fold.registers());
+      assertEquals(FullReplayFold.replay(stream), fold.registers());
     } else {
       assertEquals(Map.of(), fold.registers());
     }
   }
 
-  // An entry that was cut off for longer than the log retains finds its next offset gone.
+  // An instance that was disconnected for longer than the log retention finds that the record at
+  // its next offset was dropped.
   @Property(tries = 200, seed = "20261202")
-  void aGapInTheMiddleEqualsReplayingEverything(
+  void gapInTheMiddleEqualsFullReplay(
       @ForAll long seed,
       @ForAll @IntRange(max = 99) int from,
       @ForAll @IntRange(max = 50) int gap) {
@@ -52,13 +53,12 @@
 
     stream.subList(back, stream.size()).forEach(fold::apply);
 
-    Map<Integer, RegisterState> expected =
-        fold.complete() ? ReplayEverythingFold.replay(stream) : atCut;
+    Map<Integer, RegisterState> expected = fold.complete() ? FullReplayFold.replay(stream) : atCut;
     assertEquals(expected, fold.registers());
   }
 
   @Property(tries = 100, seed = "20261202")
-  void snapshotsOfAllFoldsAreTheSame(
+  void snapshotsOfAllFoldsAreEqual(
       @ForAll long seed, @ForAll @IntRange(max = 60) int percentExpired) {
     List<LogRecord> stream = new StreamHistory(seed, STEPS).stream();
     RegisterFold whole = new RegisterFold();
@@ -83,29 +83,28 @@
       stream.subList(stream.size() / 2, stream.size()).forEach(fold::apply);
       complete += fold.complete() ? 1 : 0;
     }
-    assertTrue(complete > 90, "only " + complete + " of 100 histories test the start");
+    assertTrue(complete > 90, "only " + complete + " of 100 histories have a usable snapshot");
   }
 
   @Test
-  void aFoldWithoutTheDuplicateFilterBreaks() {
+  void foldWithoutTheDuplicateFilterDiffers() {
     List<LogRecord> stream = new StreamHistory(1, STEPS).stream();
 
-    assertNotEquals(
-        ReplayEverythingFold.replay(stream), UnguardedFolds.withoutDuplicateFilter(stream));
+    assertNotEquals(FullReplayFold.replay(stream), UnprotectedFolds.withoutDuplicateFilter(stream));
   }
 
   @Test
-  void aFoldThatTakesEverySnapshotGoesBack() {
+  void foldThatInstallsEverySnapshotMovesBack() {
     List<LogRecord> stream = new StreamHistory(1, STEPS).stream();
     RegisterFold fold = new RegisterFold();
     int wrong = 0;
     for (int end = 1; end <= stream.size(); end++) {
       List<LogRecord> read = stream.subList(0, end);
       fold.apply(stream.get(end - 1));
-      assertEquals(ReplayEverythingFold.replay(read), fold.registers());
-      wrong += fold.registers().equals(UnguardedFolds.withEverySnapshot(read)) ? 0 : 1;
+      assertEquals(FullReplayFold.replay(read), fold.registers());
+      wrong += fold.registers().equals(UnprotectedFolds.withEverySnapshot(read)) ? 0 : 1;
     }
 
-    assertTrue(wrong > 0, "no late snapshot in this history");
+    assertTrue(wrong > 0, "this history has no late snapshot");
   }
 }
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/log/support/StreamHistory.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/log/support/StreamHistory.java
@@ -10,14 +10,15 @@
 import java.util.Random;
 
 /**
- * One stream as the platform may produce it: lost answers with resends, calls that take effect
- * late, and snapshots of writers that were paused between making and appending them.
+ * Random history of a stream as the platform may produce it: lost answers with resends, appends
+ * that take effect late, and snapshots of writers that were paused between creating and appending a
+ * snapshot.
  */
 final class StreamHistory {
 
   private static final int WRITERS = 5;
   private static final int REGISTERS = 6;
-  private static final int OVERTAKEN_AT_MOST = 20;
+  private static final int MAX_OVERTAKEN = 20;
 
   private final Random random;
   private final List<LogRecord> stream = new ArrayList<>();
@@ -25,15 +26,15 @@
   private final List<RegisterSnapshot> heldSnapshot = new ArrayList<>();
   private final long[] sequences = new long[WRITERS];
 
-  /** Replays the stream so far and writes the snapshots. */
-  private final RegisterFold author = new RegisterFold();
+  /** Fold of the stream so far, which creates the snapshots. */
+  private final RegisterFold snapshotFold = new RegisterFold();
 
   StreamHistory(long seed, int steps) {
     this.random = new Random(seed);
     for (int step = 0; step < steps; step++) {
       step();
     }
-    writeSnapshot(author.snapshot());
+    writeSnapshot(snapshotFold.snapshot());
   }
 
   List<LogRecord> stream() {
@@ -42,7 +43,7 @@
 
   private void step() {
     switch (random.nextInt(10)) {
-      case 0 -> heldSnapshot.addAll(heldSnapshot.isEmpty() ? author.snapshot() : List.of());
+      case 0 -> heldSnapshot.addAll(heldSnapshot.isEmpty() ? snapshotFold.snapshot() : List.of());
       case 1 -> {
         writeSnapshot(List.copyOf(heldSnapshot));
         heldSnapshot.clear();
@@ -54,7 +55,7 @@
 
   private void appendPut() {
     int register = random.nextInt(REGISTERS);
-    RegisterState known = author.registers().getOrDefault(register, RegisterState.ZERO);
+    RegisterState known = snapshotFold.registers().getOrDefault(register, RegisterState.ZERO);
     long expected = random.nextBoolean() ? -1 : known.version();
     int writer = random.nextInt(WRITERS);
     LogRecord entry = append(id(writer), new RegisterPut(register, expected, random.nextInt(100)));
@@ -70,7 +71,7 @@
     if (!late.isEmpty()) {
       LogRecord entry = late.remove(random.nextInt(late.size()));
       long overtaken = sequences[writerOf(entry)] - entry.id().sequence();
-      if (overtaken <= OVERTAKEN_AT_MOST || random.nextBoolean()) {
+      if (overtaken <= MAX_OVERTAKEN || random.nextBoolean()) {
         append(entry.id(), entry.body());
       }
     }
@@ -85,7 +86,7 @@
     LogRecord entry =
         new LogRecord(stream.size(), Instant.EPOCH.plusSeconds(stream.size()), id, body);
     stream.add(entry);
-    author.apply(entry);
+    snapshotFold.apply(entry);
     return entry;
   }
 
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/log/support/UnguardedFolds.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/log/support/UnprotectedFolds.java
@@ -5,19 +5,19 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Folds that lack one guard each. */
-final class UnguardedFolds {
+/** Folds that each lack one protection of the real fold. */
+final class UnprotectedFolds {
 
-  private UnguardedFolds() {}
+  private UnprotectedFolds() {}
 
-  /** Applies second occurrences too. */
+  /** Applies duplicates too. */
   static Map<Integer, RegisterState> withoutDuplicateFilter(List<LogRecord> stream) {
     Map<Integer, RegisterState> registers = new TreeMap<>();
     stream.forEach(entry -> put(registers, entry));
     return registers;
   }
 
-  /** Takes every snapshot as the state at the place where it stands. */
+  /** Installs every snapshot as the state at its own offset. */
   static Map<Integer, RegisterState> withEverySnapshot(List<LogRecord> stream) {
     Map<Integer, RegisterState> registers = new TreeMap<>();
     for (LogRecord entry : stream) {
