--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/job/support/PendingJobRequests.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/job/support/PendingJobRequests.java
@@ -62,7 +62,7 @@
         new WaitingRequest(event.replyTo(), event.request(), event.firstSend(), deadline(now));
     JobState known = fold.state(header.id());
     if (known != null) {
-      out.add(known(request, header, known.header()));
+      out.add(answerKnownJob(request, header, known.header()));
       return;
     }
     Submission pending = submissions.get(header.id());
@@ -90,13 +90,17 @@
       return false;
     }
     if (!state.running()) {
-      out.add(ended(request, state));
+      out.add(answerEndedJob(request, state));
       return false;
     }
     boolean first = !cancellations.containsKey(event.job());
     cancellations.computeIfAbsent(event.job(), id -> new ArrayList<>()).add(request);
     if (first) {
-      appends.add(record(new JobCancelled(epoch, event.job())), () -> over(event.job()), now, out);
+      appends.add(
+          record(new JobCancelled(epoch, event.job())),
+          () -> noLongerRunning(event.job()),
+          now,
+          out);
     }
     return first;
   }
@@ -113,7 +117,7 @@
                 return false;
               }
               submission.requests.forEach(
-                  request -> out.add(known(request, submission.header, state.header())));
+                  request -> out.add(answerKnownJob(request, submission.header, state.header())));
               return true;
             });
     cancellations
@@ -126,7 +130,7 @@
               }
               entry
                   .getValue()
-                  .forEach(request -> out.add(overAnswer(request, entry.getKey(), state)));
+                  .forEach(request -> out.add(answerStoppedJob(request, entry.getKey(), state)));
               return true;
             });
   }
@@ -169,11 +173,12 @@
     return answer(request, job, JobAnswerKind.NOT_HOLDER, Optional.empty());
   }
 
-  private boolean over(JobId job) {
+  private boolean noLongerRunning(JobId job) {
     JobState state = fold.state(job);
     return state == null || !state.running();
   }
 
+  /** Returns whether the job was accepted, or its upload expired so that it cannot be accepted. */
   private boolean decided(JobHeader header) {
     return fold.state(header.id()) != null || !fold.uploaded(header);
   }
@@ -208,31 +213,36 @@
       JobId job, List<WaitingRequest> requests, boolean appended, Instant now, List<Effect> out) {
     requests.removeIf(
         request -> {
-          boolean late = !request.deadline.isAfter(now);
-          if (late) {
+          boolean expired = !request.deadline.isAfter(now);
+          if (expired) {
             out.add(refuse(request, job, RefusalReason.NOT_DURABLE, appended));
           }
-          return late;
+          return expired;
         });
   }
 
-  private static Effect known(WaitingRequest request, JobHeader asked, JobHeader held) {
-    return sameContent(asked, held)
-        ? answer(request, held.id(), JobAnswerKind.ACCEPTED, Optional.empty())
-        : conflict(request, held.id(), true);
+  /**
+   * Answers a submission of an accepted job: accepted again, or a conflict if the content differs.
+   */
+  private static Effect answerKnownJob(
+      WaitingRequest request, JobHeader submitted, JobHeader accepted) {
+    return sameContent(submitted, accepted)
+        ? answer(request, accepted.id(), JobAnswerKind.ACCEPTED, Optional.empty())
+        : conflict(request, accepted.id(), true);
   }
 
   private static boolean sameContent(JobHeader one, JobHeader other) {
     return one.contentHash().equals(other.contentHash());
   }
 
-  private static Effect overAnswer(WaitingRequest request, JobId job, JobState state) {
+  /** Answers a cancellation of a job that ended, was cancelled, or has expired since. */
+  private static Effect answerStoppedJob(WaitingRequest request, JobId job, JobState state) {
     return state == null
         ? answer(request, job, JobAnswerKind.ALREADY_ENDED, Optional.empty())
-        : ended(request, state);
+        : answerEndedJob(request, state);
   }
 
-  private static Effect ended(WaitingRequest request, JobState state) {
+  private static Effect answerEndedJob(WaitingRequest request, JobState state) {
     JobAnswerKind kind = state.cancelled() ? JobAnswerKind.CANCELLED : JobAnswerKind.ALREADY_ENDED;
     return answer(request, state.header().id(), kind, Optional.empty());
   }
