--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/claim/support/MoveAtOncePolicy.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/claim/support/ImmediatePlacementPolicy.java
@@ -5,8 +5,11 @@
 import java.time.Instant;
 import java.util.Set;
 
-/** Places partitions over the instances in service, following each change at once. */
-public final class MoveAtOncePolicy implements PlacementPolicy {
+/**
+ * Distributes partitions among the instances in service, and follows each change of these instances
+ * immediately.
+ */
+public final class ImmediatePlacementPolicy implements PlacementPolicy {
 
   @Override
   public Set<InstanceId> members(Set<InstanceId> live, Instant now) {
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/claim/support/PlacementBench.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/claim/support/PlacementBench.java
@@ -11,7 +11,10 @@
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 
-/** Weighs moving partitions at once against a baseline that follows with a delay. */
+/**
+ * Compares a placement that follows each change of the fleet immediately with one that follows a
+ * baseline with a delay.
+ */
 @Tag("bench")
 class PlacementBench {
 
@@ -25,7 +28,7 @@
 
   private static Map<String, Supplier<PlacementPolicy>> policies() {
     Map<String, Supplier<PlacementPolicy>> policies = new LinkedHashMap<>();
-    policies.put("at once", MoveAtOncePolicy::new);
+    policies.put("at once", ImmediatePlacementPolicy::new);
     policies.put("30/120 s, awaited", () -> baseline(120, BaselinePolicy.Absent.AWAITED));
     policies.put("30/120 s, replaced", () -> baseline(120, BaselinePolicy.Absent.REPLACED));
     policies.put("30/600 s, replaced", () -> baseline(600, BaselinePolicy.Absent.REPLACED));
