--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/decode/IpAddress.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/decode/IpAddress.java
@@ -6,11 +6,10 @@
 import java.util.regex.Pattern;
 
 /**
- * Reads addresses that others wrote.
+ * Parses IP addresses written by other processes.
  *
- * <p>Failure: an entry names a host where an IP address belongs. It shows as a gateway that stands
- * still for seconds, since looking a name up blocks the event loop. Guard: nothing is looked up;
- * four numbers and a port are an address, all else is none.
+ * <p>Resolving a host name would block the event loop for seconds. This class therefore never
+ * resolves names: it accepts four numbers and a port, and nothing else.
  */
 public final class IpAddress {
 
@@ -22,9 +21,9 @@
   private IpAddress() {}
 
   /**
-   * Returns the address that a text of the form {@code IP:port} names.
+   * Parses a string of the form {@code IP:port}.
    *
-   * @throws UnreadableException if it names none
+   * @throws UnreadableException if the string is not of this form
    */
   public static InetSocketAddress parse(String place, String text) {
     int colon = text.indexOf(':');
@@ -36,9 +35,9 @@
   }
 
   /**
-   * Returns the address of a host and a port.
+   * Returns the socket address of an IP address and a port.
    *
-   * @throws UnreadableException if the host is no IP address or the port none
+   * @throws UnreadableException if the IP address or the port is not valid
    */
   public static InetSocketAddress of(String place, String ip, int port) {
     if (port < 1 || port > MAX_PORT) {
@@ -56,15 +55,18 @@
     try {
       return new InetSocketAddress(InetAddress.getByAddress(bytes), port);
     } catch (UnknownHostException e) {
-      throw new IllegalStateException("Four bytes are an address", e);
+      throw new IllegalStateException("four bytes must form an IP address", e);
     }
   }
 
-  /** Returns a number without sign or leading zeros; -1 if it is none or beyond a bound. */
-  private static int number(String text, int most) {
+  /**
+   * Parses a number without sign or leading zeros; returns -1 if the string is no such number or
+   * exceeds the bound.
+   */
+  private static int number(String text, int max) {
     boolean digits = !text.isEmpty() && text.chars().allMatch(each -> each >= '0' && each <= '9');
     boolean plain = digits && text.length() <= 5 && (text.length() == 1 || text.charAt(0) != '0');
     int number = plain ? Integer.parseInt(text) : -1;
-    return number <= most ? number : -1;
+    return number <= max ? number : -1;
   }
 }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/decode/MessageReader.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/decode/MessageReader.java
@@ -8,12 +8,12 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * Reads MessagePack that anybody may have written.
+ * Decodes MessagePack from untrusted writers.
  *
- * <p>Failure: a length in five bytes claims 2 GB, a number is beyond what a time or an index can
- * be. It shows as a process out of memory, or as an exception far from the reader. Guard: each
- * length is held against the bytes that are left and each number against its bounds, and whatever
- * is wrong comes out as one {@link UnreadableException}.
+ * <p>A length field of five bytes may claim 2 GB, and a number may exceed the range of a duration
+ * or an index. The process could run out of memory, or an exception could occur far from the
+ * reader. The reader therefore checks each length against the remaining bytes and each number
+ * against its bounds, and reports any error as an {@link UnreadableException}.
  */
 public final class MessageReader {
 
@@ -30,18 +30,18 @@
     this.size = size;
   }
 
-  /** Reads the fields of a value. */
+  /** Decodes the fields of a value. */
   public interface Body<T> {
 
-    /** Returns the value. */
+    /** Decodes and returns the value. */
     T read(MessageReader reader) throws IOException;
   }
 
   /**
-   * Returns what bytes hold.
+   * Decodes bytes.
    *
    * @param what name of the value, for the error
-   * @throws UnreadableException if they do not hold it
+   * @throws UnreadableException if the bytes are no valid value
    */
   public static <T> T read(String what, byte[] bytes, Body<T> body) {
     try (MessageUnpacker unpacker = CONFIG.newUnpacker(bytes)) {
@@ -55,67 +55,69 @@
     }
   }
 
-  /** Returns a text. */
+  /** Reads a string. */
   public String text() throws IOException {
     return unpacker.unpackString();
   }
 
-  /** Returns whether something holds. */
+  /** Reads a boolean. */
   public boolean flag() throws IOException {
     return unpacker.unpackBoolean();
   }
 
-  /** Returns a whole number. */
+  /** Reads an integer. */
   public long number() throws IOException {
     return unpacker.unpackLong();
   }
 
   /** Returns a whole number between two bounds, both included. */
-  public int number(String place, int least, int most) throws IOException {
-    return (int) number(place, (long) least, (long) most);
+  public int number(String place, int min, int max) throws IOException {
+    return (int) number(place, (long) min, (long) max);
   }
 
   /** Returns a whole number between two bounds, both included. */
-  public long number(String place, long least, long most) throws IOException {
+  public long number(String place, long min, long max) throws IOException {
     long number = unpacker.unpackLong();
-    if (number < least || number > most) {
-      throw new UnreadableException(place, "not from " + least + " to " + most);
+    if (number < min || number > max) {
+      throw new UnreadableException(place, "not from " + min + " to " + max);
     }
     return number;
   }
 
-  /** Returns a fraction above zero, up to a bound. */
-  public double positive(String place, double most) throws IOException {
+  /** Reads a floating-point number greater than zero and up to a bound. */
+  public double positive(String place, double max) throws IOException {
     double number = unpacker.unpackDouble();
-    if (!(number > 0 && number <= most)) {
-      throw new UnreadableException(place, "not above 0 and up to " + most);
+    if (!(number > 0 && number <= max)) {
+      throw new UnreadableException(place, "not above 0 and up to " + max);
     }
     return number;
   }
 
-  /** Returns a time in milliseconds, from zero to a bound. */
-  public Duration millis(String place, Duration most) throws IOException {
-    return Duration.ofMillis(number(place, 0L, most.toMillis()));
+  /** Reads a duration in milliseconds, from zero to a bound. */
+  public Duration millis(String place, Duration max) throws IOException {
+    return Duration.ofMillis(number(place, 0L, max.toMillis()));
   }
 
-  /** Returns the number of elements of a list that follows; each takes a byte or more. */
+  /**
+   * Reads the number of elements of the list that follows; each element takes at least one byte.
+   */
   public int listSize() throws IOException {
-    return fitting("list", unpacker.unpackArrayHeader());
+    return checkLength("list", unpacker.unpackArrayHeader());
   }
 
-  /** Returns the number of entries of a map that follows. */
+  /** Reads the number of entries of the map that follows. */
   public int mapSize() throws IOException {
-    return fitting("map", unpacker.unpackMapHeader());
+    return checkLength("map", unpacker.unpackMapHeader());
   }
 
-  /** Returns bytes. */
+  /** Reads a byte array. */
   public byte[] bytes() throws IOException {
-    return unpacker.readPayload(fitting("bytes", unpacker.unpackBinaryHeader()));
+    return unpacker.readPayload(checkLength("bytes", unpacker.unpackBinaryHeader()));
   }
 
-  private int fitting(String place, int length) {
+  private int checkLength(String place, int length) {
     if (length < 0 || length > size - unpacker.getTotalReadBytes()) {
-      throw new UnreadableException(place, "longer than what is left");
+      throw new UnreadableException(place, "longer than the remaining bytes");
     }
     return length;
   }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/decode/UnreadableException.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/decode/UnreadableException.java
@@ -1,8 +1,8 @@
 package io.hawthornlb.gateway.decode;
 
 /**
- * Says that bytes of another writer hold no value of ours, and where. Whoever reads them passes
- * them over and goes on; the writer has to write them anew.
+ * Thrown when bytes of another writer cannot be decoded; names the place of the error. A reader
+ * skips such bytes and continues, and the writer has to write them again.
  */
 public final class UnreadableException extends IllegalArgumentException {
 
@@ -14,8 +14,9 @@
   /**
    * Creates an exception.
    *
-   * @param place field that cannot be read, or what the bytes should hold as a whole
-   * @param reason what is wrong with it, without the value, so that it is the same for all values
+   * @param place field that cannot be read, or name of the whole value
+   * @param reason what is wrong, without the value itself, so that the reason is equal for all
+   *     values
    */
   public UnreadableException(String place, String reason) {
     super(place + ": " + reason);
@@ -23,12 +24,12 @@
     this.reason = reason;
   }
 
-  /** Returns the field that cannot be read, or what the bytes should hold as a whole. */
+  /** Returns the field that cannot be read, or the name of the whole value. */
   public String place() {
     return place;
   }
 
-  /** Returns what is wrong with it. */
+  /** Returns what is wrong with the field. */
   public String reason() {
     return reason;
   }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/decode/UnreadableRecords.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/decode/UnreadableRecords.java
@@ -9,19 +9,25 @@
 import java.util.Map;
 
 /**
- * Logs what cannot be read, each record once with its reason.
+ * Logs unreadable records, each one once per reason.
  *
- * <p>Load pattern: another writer fills a list with thousands of records that cannot be read, and
- * the list is read again after each outage. Guard: a record that is still unreadable for the same
- * reason is not told again, and what goes beyond some lines a minute is counted and told with the
- * next line.
+ * <p>Another writer may fill a list with thousands of unreadable records, and the list is read
+ * again after each outage. A record that is still unreadable for the same reason is not logged
+ * again. Lines beyond a limit per minute are counted instead, and the count is added to the next
+ * line.
  */
 public final class UnreadableRecords {
 
-  /** Records remembered; some ten times the endpoints of the largest fleet would be 4,000. */
+  /**
+   * Number of records whose reason is remembered; ten times the endpoints of the largest fleet
+   * would be about 4,000.
+   */
   private static final int MAX_REMEMBERED = 4_096;
 
-  /** Lines in one span; enough to see who writes, few beside the lines of requests. */
+  /**
+   * Maximum number of lines per {@link #SPAN}; enough to identify the writer, and few compared with
+   * the lines about requests.
+   */
   static final int MAX_LINES = 50;
 
   private static final Duration SPAN = Duration.ofMinutes(1);
@@ -34,14 +40,14 @@
   private final Map<String, String> reasons = new Bounded();
   private Instant spanEnd = Instant.MIN;
   private int lines;
-  private long passedOver;
+  private long suppressed;
 
   /**
-   * Creates a log of one kind of records.
+   * Creates a log for one kind of record.
    *
-   * @param part part of the process that reads them
-   * @param event event of the lines
-   * @param keyName name under which a line tells the key
+   * @param part part of the process that reads the records
+   * @param event event name of the log lines
+   * @param keyName name of the log field for the record's key
    */
   public UnreadableRecords(
       EventLog log, InstantSource clock, String part, String event, String keyName) {
@@ -52,7 +58,9 @@
     this.keyName = keyName;
   }
 
-  /** Takes that the record under a key cannot be read; tells it unless that is known. */
+  /**
+   * Reports that a record is unreadable; logs it unless it was reported before for the same reason.
+   */
   public void report(String key, UnreadableException cause) {
     if (cause.getMessage().equals(reasons.put(key, cause.getMessage()))) {
       return;
@@ -63,15 +71,15 @@
       lines = 0;
     }
     if (lines >= MAX_LINES) {
-      passedOver++;
+      suppressed++;
       return;
     }
     lines++;
     EventLine line =
         log.important(part, event).with(keyName, key).with("cause", cause.getMessage());
-    if (passedOver > 0) {
-      line.with("notTold", passedOver);
-      passedOver = 0;
+    if (suppressed > 0) {
+      line.with("notTold", suppressed);
+      suppressed = 0;
     }
     if (lines == MAX_LINES) {
       line.with("silentMillis", Duration.between(now, spanEnd).toMillis());
@@ -79,14 +87,14 @@
     line.write();
   }
 
-  /** Takes that the record under a key can be read, or is gone. */
+  /** Reports that a record has become readable or was removed. */
   public void forget(String key) {
     if (!reasons.isEmpty()) {
       reasons.remove(key);
     }
   }
 
-  /** Reasons by key; forgets the oldest ones. */
+  /** Reasons by key; evicts the oldest entries. */
   private static final class Bounded extends LinkedHashMap<String, String> {
 
     private static final long serialVersionUID = 1L;
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/decode/package-info.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/decode/package-info.java
@@ -1,4 +1,6 @@
-/** Reads what other writers may have written: a good value, or one error that names the place. */
+/**
+ * Decodes values of other writers: the result is a valid value, or one error that names the place.
+ */
 @NullMarked
 package io.hawthornlb.gateway.decode;
 
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/event/EventLine.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/event/EventLine.java
@@ -2,15 +2,15 @@
 
 import org.jspecify.annotations.Nullable;
 
-/** A line that is being put together; nothing is written before {@link #write()}. */
+/** A log line under construction; nothing is written before {@link #write()}. */
 public interface EventLine {
 
-  /** Adds a text; a null is left out. */
+  /** Adds a string field; a null value is omitted. */
   EventLine with(String name, @Nullable String value);
 
-  /** Adds a number. */
+  /** Adds a number field. */
   EventLine with(String name, long value);
 
-  /** Hands the line over. */
+  /** Submits the line for writing. */
   void write();
 }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/event/EventLog.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/event/EventLog.java
@@ -1,17 +1,18 @@
 package io.hawthornlb.gateway.event;
 
 /**
- * Takes one structured line for each decision.
+ * Structured log with one line for each decision.
  *
- * <p>Writing never blocks the caller: what does not fit is counted and told later.
+ * <p>Writing never blocks the caller: lines that exceed the limits are dropped and counted, and the
+ * count is logged later.
  *
  * @see io.hawthornlb.gateway.event.EventLine
  */
 public interface EventLog {
 
-  /** Begins a line that is left out first when there are too many. */
+  /** Starts a line that is dropped first when there are too many lines. */
   EventLine routine(String part, String event);
 
-  /** Begins a line about a failure or a change of what the process believes. */
+  /** Starts a line about a failure or a change of the process's view of the system. */
   EventLine important(String part, String event);
 }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/event/JsonEventLog.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/event/JsonEventLog.java
@@ -17,37 +17,40 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Writes lines of JSON from a thread of its own.
+ * Writes JSON lines on a separate thread.
  *
- * <p>Failure: a reader of standard output that is slow or gone blocks whoever writes. It shows as
- * requests that stand still. Guard: lines go through a bounded queue to one thread; when the queue
- * is full they are dropped and counted. A budget a second bounds what a storm of requests costs;
- * routine lines get half of it, so that failures are kept before successes.
+ * <p>A slow or absent reader of standard output blocks a writer, and requests would stop. Lines
+ * therefore pass through a bounded queue to one thread, and are dropped and counted when the queue
+ * is full. A limit on lines per second bounds the cost of a burst of requests. Routine lines may
+ * use half of that limit, so that lines about failures take precedence over lines about successes.
  */
 public final class JsonEventLog implements EventLog {
 
-  /** Lines a second; 300 lines of 200 bytes cost about 0.3% of a core. */
-  private static final int LINES_PER_SECOND = 300;
+  /** Maximum number of lines per second; 300 lines of 200 bytes cost about 0.3% of a core. */
+  private static final int MAX_LINES_PER_SECOND = 300;
 
-  /** Lines a second of one part, so that a loud one leaves room for the others. */
-  private static final int LINES_OF_PART = 200;
+  /**
+   * Maximum number of lines per second of one part, so that a part with many lines leaves room for
+   * the others.
+   */
+  private static final int MAX_LINES_PER_PART = 200;
 
-  /** Lines that wait for the writing thread; two seconds of the budget. */
-  private static final int QUEUE_LINES = 600;
+  /** Capacity of the queue to the writing thread in lines; two seconds of the line limit. */
+  private static final int QUEUE_CAPACITY = 600;
 
   private static final Duration WINDOW = Duration.ofSeconds(1);
 
   private final JsonFactory json = new JsonFactory();
-  private final BlockingQueue<byte[]> queue = new ArrayBlockingQueue<>(QUEUE_LINES);
+  private final BlockingQueue<byte[]> queue = new ArrayBlockingQueue<>(QUEUE_CAPACITY);
   private final AtomicLong dropped = new AtomicLong();
   private final InstantSource clock;
   private final OutputStream out;
-  private final Map<String, Integer> linesOfPart = new HashMap<>();
+  private final Map<String, Integer> linesByPart = new HashMap<>();
   private Instant windowStart = Instant.MIN;
   private int linesInWindow;
-  private long droppedTold;
+  private long droppedLogged;
 
-  /** Creates a log and starts its thread. */
+  /** Creates a log and starts its writing thread. */
   public JsonEventLog(InstantSource clock, OutputStream out) {
     this.clock = clock;
     this.out = out;
@@ -58,43 +61,47 @@
 
   @Override
   public EventLine routine(String part, String event) {
-    return admit(part, 2) ? new Line(part, event) : NoLine.INSTANCE;
+    return admit(part, 2) ? new Line(part, event) : DiscardedLine.INSTANCE;
   }
 
   @Override
   public EventLine important(String part, String event) {
-    return admit(part, 1) ? new Line(part, event) : NoLine.INSTANCE;
+    return admit(part, 1) ? new Line(part, event) : DiscardedLine.INSTANCE;
   }
 
-  /** Returns the number of lines that were left out. */
+  /** Returns the number of dropped lines. */
   public long dropped() {
     return dropped.get();
   }
 
-  /** Counts a line if the budgets of its part and of all, less a share, have room for it. */
+  /**
+   * Counts a line if the limits have room for it.
+   *
+   * @param share divisor of the limits that apply to the line; 2 lets the line use half of them
+   */
   private synchronized boolean admit(String part, int share) {
     Instant now = clock.instant();
     if (now.isAfter(windowStart.plus(WINDOW))) {
       windowStart = now;
       linesInWindow = 0;
-      linesOfPart.clear();
-      tellDropped();
+      linesByPart.clear();
+      logDropped();
     }
-    int ofPart = linesOfPart.getOrDefault(part, 0);
-    if (linesInWindow >= LINES_PER_SECOND / share || ofPart >= LINES_OF_PART / share) {
+    int ofPart = linesByPart.getOrDefault(part, 0);
+    if (linesInWindow >= MAX_LINES_PER_SECOND / share || ofPart >= MAX_LINES_PER_PART / share) {
       dropped.incrementAndGet();
       return false;
     }
-    linesOfPart.put(part, ofPart + 1);
+    linesByPart.put(part, ofPart + 1);
     linesInWindow++;
     return true;
   }
 
-  /** Tells, once a window, how many lines were left out so far. */
-  private void tellDropped() {
+  /** Logs at most once per window how many lines were dropped so far. */
+  private void logDropped() {
     long now = dropped.get();
-    if (now > droppedTold) {
-      droppedTold = now;
+    if (now > droppedLogged) {
+      droppedLogged = now;
       new Line("log", "log.dropped").with("lines", now).write();
     }
   }
@@ -114,14 +121,15 @@
         }
       }
     } catch (IOException e) {
-      // Standard output is closed: there is nowhere left to tell it. Lines fill the queue and drop.
+      // Standard output is closed, and the failure cannot be reported. Lines fill the queue and are
+      // then dropped.
       dropped.addAndGet(queue.size());
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  /** A line as a JSON object. */
+  /** A line that is written as a JSON object. */
   private final class Line implements EventLine {
 
     private final ByteArrayBuilder bytes = new ByteArrayBuilder(256);
@@ -135,7 +143,7 @@
         generator.writeStringField("part", part);
         generator.writeStringField("event", event);
       } catch (IOException e) {
-        throw new UncheckedIOException("A buffer in memory failed", e);
+        throw new UncheckedIOException("writing to an in-memory buffer failed", e);
       }
     }
 
@@ -147,7 +155,7 @@
         }
         return this;
       } catch (IOException e) {
-        throw new UncheckedIOException("A buffer in memory failed", e);
+        throw new UncheckedIOException("writing to an in-memory buffer failed", e);
       }
     }
 
@@ -157,7 +165,7 @@
         generator.writeNumberField(name, value);
         return this;
       } catch (IOException e) {
-        throw new UncheckedIOException("A buffer in memory failed", e);
+        throw new UncheckedIOException("writing to an in-memory buffer failed", e);
       }
     }
 
@@ -169,13 +177,13 @@
         bytes.append('\n');
         offer(bytes.toByteArray());
       } catch (IOException e) {
-        throw new UncheckedIOException("A buffer in memory failed", e);
+        throw new UncheckedIOException("writing to an in-memory buffer failed", e);
       }
     }
   }
 
-  /** Stands for a line over the budget. */
-  private enum NoLine implements EventLine {
+  /** Placeholder for a line that exceeds the limits. */
+  private enum DiscardedLine implements EventLine {
     INSTANCE;
 
     @Override
@@ -190,7 +198,7 @@
 
     @Override
     public void write() {
-      // Counted when it was refused.
+      // The line was counted as dropped when it was refused.
     }
   }
 }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/event/PeriodicLines.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/event/PeriodicLines.java
@@ -6,32 +6,33 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Has lines about a whole process written every few seconds, so that one that is killed left some.
+ * Writes lines about the whole process every few seconds, so that a process that is killed has left
+ * some.
  */
 public final class PeriodicLines {
 
-  private static final Duration EVERY = Duration.ofSeconds(5);
+  private static final Duration INTERVAL = Duration.ofSeconds(5);
 
   private final ScheduledExecutorService executor;
   private final List<Runnable> writers;
 
-  /** Creates lines that are written on an executor, one by each writer. */
+  /** Creates periodic lines that are written on the executor, one by each writer. */
   public PeriodicLines(ScheduledExecutorService executor, List<Runnable> writers) {
     this.executor = executor;
     this.writers = List.copyOf(writers);
   }
 
-  /** Writes the lines every few seconds from now on. */
+  /** Starts writing the lines every few seconds. */
   public void start() {
-    executor.schedule(this::next, EVERY.toMillis(), TimeUnit.MILLISECONDS);
+    executor.schedule(this::writeAndReschedule, INTERVAL.toMillis(), TimeUnit.MILLISECONDS);
   }
 
-  private void next() {
+  private void writeAndReschedule() {
     write();
     start();
   }
 
-  /** Writes the lines now. */
+  /** Writes the lines immediately. */
   public void write() {
     writers.forEach(Runnable::run);
   }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/event/package-info.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/event/package-info.java
@@ -1,4 +1,4 @@
-/** One structured line for each decision, bounded and never blocking. */
+/** Structured log with one line for each decision, bounded and non-blocking. */
 @NullMarked
 package io.hawthornlb.gateway.event;
 
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/loop/AccountedEventLoop.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/loop/AccountedEventLoop.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.ScheduledFuture;
 import org.jspecify.annotations.Nullable;
 
-/** Event loop that keeps account of its work. */
+/** Event loop that measures the time of its work by kind. */
 public final class AccountedEventLoop extends SingleThreadIoEventLoop {
 
   private final WorkAccount account;
@@ -20,7 +20,7 @@
     this.account = account;
   }
 
-  /** Returns a new loop; its thread starts with its first task. */
+  /** Creates a loop, whose thread starts with the first task. */
   public static AccountedEventLoop create() {
     return (AccountedEventLoop) new LoopGroup().next();
   }
@@ -30,7 +30,7 @@
     return executor -> new AccountedIoHandler(nio.newHandler(executor), account);
   }
 
-  /** Returns the account of this loop; to be read by its thread. */
+  /** Returns the account of this loop, which only the loop's own thread may read. */
   public WorkAccount account() {
     return account;
   }
@@ -58,7 +58,7 @@
     super.afterRunningAllTasks();
   }
 
-  /** Group of one loop, whose thread it gives the name by which the account of threads knows it. */
+  /** Group of one loop. Names the loop's thread so that {@link ThreadTimes} recognizes it. */
   private static final class LoopGroup extends MultiThreadIoEventLoopGroup {
 
     private LoopGroup() {
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/loop/AccountedHandle.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/loop/AccountedHandle.java
@@ -9,7 +9,7 @@
 import java.nio.channels.SelectableChannel;
 import java.nio.channels.ServerSocketChannel;
 
-/** Keeps account of the events of one channel. */
+/** Accounts the events of one channel. */
 final class AccountedHandle implements NioIoHandle {
 
   private final NioIoHandle delegate;
@@ -31,12 +31,12 @@
 
   @Override
   public void handle(IoRegistration registration, IoEvent event) {
-    account.begin(connects(event) ? WorkKind.CONNECT : kind);
+    account.begin(isConnectEvent(event) ? WorkKind.CONNECT : kind);
     delegate.handle(registration, event);
     account.begin(WorkKind.LOOP);
   }
 
-  private static boolean connects(IoEvent event) {
+  private static boolean isConnectEvent(IoEvent event) {
     return event instanceof NioIoEvent nio && nio.ops().contains(NioIoOps.CONNECT);
   }
 
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/loop/AccountedIoHandler.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/loop/AccountedIoHandler.java
@@ -6,7 +6,9 @@
 import io.netty.channel.IoRegistration;
 import io.netty.channel.nio.NioIoHandle;
 
-/** Waits until timers are due, and passes events on to handles that keep account of them. */
+/**
+ * I/O handler that accounts the events of its channels and waits for timers in whole milliseconds.
+ */
 final class AccountedIoHandler implements IoHandler {
 
   private final IoHandler delegate;
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/loop/ThreadTimes.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/loop/ThreadTimes.java
@@ -8,18 +8,21 @@
 import java.util.TreeMap;
 
 /**
- * Processor time of the threads of this process, as Linux tells it.
+ * Processor time of the threads of this process, as reported by Linux.
  *
- * <p>Read from files, since the runtime's own means load hundreds of classes.
+ * <p>The times are read from files, because the management API of the runtime loads hundreds of
+ * classes.
  */
 public final class ThreadTimes {
 
-  /** How names of threads of event loops begin; short, as the system keeps 15 bytes. */
+  /**
+   * Prefix of the names of event loop threads; short, because the kernel keeps 15 bytes of a name.
+   */
   static final String LOOP_NAME = "loop";
 
   private static final Path TASKS = Path.of("/proc/self/task");
 
-  /** Longest text that is read of a file; names have 16 bytes, times some 50. */
+  /** Number of bytes that are read of a file; names have up to 16 bytes, times about 50. */
   private static final int MAX_BYTES = 128;
 
   private final Path tasks;
@@ -33,7 +36,10 @@
     this.tasks = tasks;
   }
 
-  /** Returns the microseconds of each kind of thread; empty where the system does not tell. */
+  /**
+   * Returns the processor time in microseconds by kind of thread; empty where the system does not
+   * report it.
+   */
   public Map<String, Long> read() {
     Map<String, Long> micros = new TreeMap<>();
     String[] ids = tasks.toFile().list();
@@ -48,11 +54,11 @@
 
   private static void add(Path task, Map<String, Long> micros) {
     try {
-      String name = text(task.resolve("comm"));
-      String time = text(task.resolve("schedstat"));
-      micros.merge(part(name), nanos(time) / 1_000, Long::sum);
+      String name = readStart(task.resolve("comm"));
+      String time = readStart(task.resolve("schedstat"));
+      micros.merge(kindOf(name), nanos(time) / 1_000, Long::sum);
     } catch (IOException | NumberFormatException e) {
-      // The thread has ended since it was listed, or the system keeps no such times.
+      // The thread has ended since the listing, or the system does not record such times.
       return;
     }
   }
@@ -62,7 +68,7 @@
     return Long.parseLong(end < 0 ? time : time.substring(0, end));
   }
 
-  private static String part(String name) {
+  private static String kindOf(String name) {
     if (name.startsWith(LOOP_NAME)) {
       return "loop";
     }
@@ -75,7 +81,7 @@
     return name.equals("event-log") ? "log" : "runtime";
   }
 
-  private static String text(Path file) throws IOException {
+  private static String readStart(Path file) throws IOException {
     try (FileInputStream in = new FileInputStream(file.toFile())) {
       byte[] bytes = in.readNBytes(MAX_BYTES);
       return new String(bytes, StandardCharsets.ISO_8859_1).trim();
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/loop/WholeMillisContext.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/loop/WholeMillisContext.java
@@ -4,11 +4,11 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Lets a handler of events wait until a timer is due, and not shorter.
+ * Rounds the time that an I/O handler waits for the next timer up to whole milliseconds.
  *
- * <p>Failure: the system waits for whole milliseconds, and the time to a timer is rounded to the
- * nearest. It shows as a loop that asks for events again and again, without waiting, while a timer
- * is less than half a millisecond away. Guard: the time is rounded up.
+ * <p>The system waits for whole milliseconds, and the handler rounds the time until the timer to
+ * the nearest one. While a timer is due in less than half a millisecond, the loop would select
+ * repeatedly without waiting.
  */
 final class WholeMillisContext implements IoHandlerContext {
 
@@ -28,9 +28,9 @@
   @Override
   public long delayNanos(long currentTimeNanos) {
     long delay = delegate.delayNanos(currentTimeNanos);
-    long beyond = delay % MILLI;
-    boolean whole = beyond <= 0 || delay > Long.MAX_VALUE - MILLI;
-    return whole ? delay : delay - beyond + MILLI;
+    long excess = delay % MILLI;
+    boolean whole = excess <= 0 || delay > Long.MAX_VALUE - MILLI;
+    return whole ? delay : delay - excess + MILLI;
   }
 
   @Override
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/loop/WorkAccount.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/loop/WorkAccount.java
@@ -4,9 +4,10 @@
 import java.util.function.LongSupplier;
 
 /**
- * Time and number of the pieces of work of one event loop, by kind.
+ * Time and number of the work items of one event loop, by kind.
  *
- * <p>Always at one kind; used by the thread of the loop alone.
+ * <p>The account always attributes time to exactly one kind. Only the thread of the loop may use
+ * it.
  */
 public final class WorkAccount {
 
@@ -19,27 +20,30 @@
   private long since;
   private long flushes;
 
-  /** Creates an account by a steady clock in nanoseconds. */
+  /** Creates an account that uses a monotonic clock in nanoseconds. */
   public WorkAccount(LongSupplier nanoTime) {
     this.nanoTime = nanoTime;
     this.since = nanoTime.getAsLong();
   }
 
-  /** Notes that a handler has found out what kind of event its channel is being read for. */
+  /**
+   * Sets the kind of the current work item once a handler has found out what its channel's event
+   * is.
+   */
   public static void noteKind(Channel channel, WorkKind kind) {
     if (channel.eventLoop() instanceof AccountedEventLoop loop) {
       loop.account().mark(kind);
     }
   }
 
-  /** Notes that bytes of a channel are handed to the system. */
+  /** Counts that bytes of a channel are passed to the system. */
   public static void flushed(Channel channel) {
     if (channel.eventLoop() instanceof AccountedEventLoop loop) {
       loop.account().flushes++;
     }
   }
 
-  /** Begins a piece of work, which ends the one before. */
+  /** Starts a work item, which ends the previous one. */
   public void begin(WorkKind kind) {
     long now = nanoTime.getAsLong();
     nanos[current.ordinal()] += now - since;
@@ -48,7 +52,7 @@
     counts[kind.ordinal()]++;
   }
 
-  /** Takes the present piece of work for one of another kind, from its beginning. */
+  /** Changes the kind of the current work item, including the time since its start. */
   public void mark(WorkKind kind) {
     if (kind != current) {
       counts[current.ordinal()]--;
@@ -57,17 +61,17 @@
     }
   }
 
-  /** Returns the time that pieces of a kind took, those that have ended. */
+  /** Returns the total time of the completed work items of a kind in nanoseconds. */
   public long nanos(WorkKind kind) {
     return nanos[kind.ordinal()];
   }
 
-  /** Returns how many pieces of a kind were begun. */
+  /** Returns the number of work items of a kind that were started. */
   public long count(WorkKind kind) {
     return counts[kind.ordinal()];
   }
 
-  /** Returns how often bytes were handed to the system on connections to callers. */
+  /** Returns how often bytes were passed to the system on connections to callers. */
   public long flushes() {
     return flushes;
   }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/loop/WorkKind.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/loop/WorkKind.java
@@ -2,31 +2,31 @@
 
 /** Kinds of work of an event loop. */
 public enum WorkKind {
-  /** Selecting, and waiting for events. */
+  /** Selecting and waiting for events. */
   SELECT("select"),
-  /** Taking connections. */
+  /** Accepting connections. */
   ACCEPT("accept"),
-  /** Connections that open. */
+  /** Completing outgoing connections. */
   CONNECT("connect"),
-  /** Bytes of callers. */
+  /** Reading requests of callers. */
   CALLER("caller"),
-  /** Answers of endpoints to callers. */
+  /** Reading responses of endpoints to requests of callers. */
   ANSWER("answer"),
-  /** Answers of endpoints to items of jobs. */
+  /** Reading responses of endpoints to items of jobs. */
   ITEM("item"),
-  /** Datagrams of other instances. */
+  /** Reading datagrams of other instances. */
   DATAGRAM("datagram"),
-  /** Replies to calls over HTTP, all but few of the store. */
+  /** Reading replies to HTTP calls, nearly all of them of the store. */
   STORE("store"),
-  /** Links to other instances. */
+  /** Reading from links to other instances. */
   LINK("link"),
-  /** Events on connections that no handler told apart; closed ones, for instance. */
+  /** Events on connections that no handler classified, such as those of closed connections. */
   OTHER("other"),
-  /** Tasks that were handed to the loop. */
+  /** Tasks submitted to the loop. */
   TASK("task"),
   /** Timers that fired. */
   TIMER("timer"),
-  /** The loop itself, between other work. */
+  /** The loop itself, between other work items. */
   LOOP("loop");
 
   private final String label;
@@ -35,7 +35,7 @@
     this.label = label;
   }
 
-  /** Returns the name by which lines of the log tell it. */
+  /** Returns the name of this kind in log lines. */
   public String label() {
     return label;
   }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/loop/WorkReport.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/loop/WorkReport.java
@@ -4,21 +4,24 @@
 import io.hawthornlb.gateway.event.EventLog;
 import io.netty.channel.EventLoop;
 
-/** Tells the log what processor time went into since the start. */
+/** Logs how the processor time since the start of the process was spent. */
 public final class WorkReport {
 
   private final EventLoop loop;
   private final ThreadTimes threads;
   private final EventLog log;
 
-  /** Creates a report about an event loop; one that keeps no account has its threads told only. */
+  /**
+   * Creates a report about an event loop; a loop without an account is reported with its threads
+   * only.
+   */
   public WorkReport(EventLoop loop, ThreadTimes threads, EventLog log) {
     this.loop = loop;
     this.threads = threads;
     this.log = log;
   }
 
-  /** Writes a line; called by the thread of the loop. */
+  /** Writes a log line; called on the thread of the loop. */
   public void write() {
     EventLine line = log.important("process", "processor.time");
     threads.read().forEach((thread, micros) -> line.with(thread + "Thread", micros));
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/loop/package-info.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/loop/package-info.java
@@ -1,4 +1,4 @@
-/** Event loop of a gateway, and the account of its processor time. */
+/** Event loop of a gateway and the accounting of its processor time. */
 @NullMarked
 package io.hawthornlb.gateway.loop;
 
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/metric/GatewayMetrics.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/metric/GatewayMetrics.java
@@ -6,14 +6,17 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /**
- * Counts what a gateway does.
+ * Counters and latencies of a gateway.
  *
- * <p>Recording costs an addition; the registry that writes the figures is made when they are asked
- * for the first time, since it would add some 50 ms to each start.
+ * <p>Recording a value costs one addition. The registry that formats the metrics is created at the
+ * first scrape, because it would add about 50 ms to each start.
  */
 public final class GatewayMetrics {
 
-  /** Series of one name; a configuration has tens of routes, and a caller cannot add any. */
+  /**
+   * Maximum number of series of counters, and of latencies; a configuration has tens of routes, and
+   * a caller cannot add any.
+   */
   private static final int MAX_SERIES = 200;
 
   private static final String OTHERS = "others";
@@ -22,14 +25,15 @@
   private final Map<Series, LatencyHistogram> latencies = new ConcurrentHashMap<>();
 
   /**
-   * Name of a series.
+   * Identifies a series.
    *
    * @param name what is counted
-   * @param label what it is counted by: a route, a cause or a kind
+   * @param label dimension of the count, such as a route, a cause or a kind
    */
   public record Series(String name, String label) {
 
-    // Written out: the generated ones are linked at run time, in some milliseconds.
+    // Written explicitly because the generated methods of a record are linked at run time, which
+    // takes some milliseconds.
     @Override
     public boolean equals(Object other) {
       return other instanceof Series series
@@ -43,13 +47,13 @@
     }
   }
 
-  /** Counts one more. */
+  /** Increments a counter. */
   public void count(String name, String label) {
     Series series = bounded(counters, name, label);
     counters.computeIfAbsent(series, any -> new LongAdder()).increment();
   }
 
-  /** Records a time. */
+  /** Records a duration. */
   public void time(String name, String label, Duration time) {
     Series series = bounded(latencies, name, label);
     latencies.computeIfAbsent(series, any -> new LatencyHistogram()).record(time);
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/metric/LatencyHistogram.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/metric/LatencyHistogram.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import java.util.concurrent.atomic.LongAdder;
 
-/** Times by buckets whose bounds double from 1 ms to 16 s. */
+/** Histogram of durations, with bucket bounds that double from 1 ms to 16 s. */
 final class LatencyHistogram {
 
   private static final int BUCKETS = 15;
@@ -36,7 +36,7 @@
     return BUCKETS;
   }
 
-  /** Returns the number of times up to the bound of a bucket. */
+  /** Returns the number of durations up to the bound of a bucket. */
   long upTo(int bucket) {
     long count = 0;
     for (int i = 0; i <= bucket; i++) {
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/metric/MetricsText.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/metric/MetricsText.java
@@ -9,7 +9,9 @@
 import java.util.concurrent.atomic.LongAdder;
 import org.jspecify.annotations.Nullable;
 
-/** Writes the figures as text; makes the registry at the first question. */
+/**
+ * Formats the metrics as text in the Prometheus format. Creates the registry at the first scrape.
+ */
 public final class MetricsText {
 
   private static final String LABEL = "by";
@@ -19,12 +21,12 @@
   private final Set<GatewayMetrics.Series> bound = new HashSet<>();
   private @Nullable PrometheusMeterRegistry registry;
 
-  /** Creates the text of some figures. */
+  /** Creates a formatter for metrics. */
   public MetricsText(GatewayMetrics metrics) {
     this.metrics = metrics;
   }
 
-  /** Returns all figures as of now. */
+  /** Returns the current values of all metrics. */
   public String write() {
     PrometheusMeterRegistry open = registry;
     if (open == null) {
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/metric/TrafficLog.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/metric/TrafficLog.java
@@ -7,7 +7,7 @@
 import java.util.TreeMap;
 import java.util.concurrent.atomic.LongAdder;
 
-/** Writes what a gateway has opened, called and sent so far as one line. */
+/** Logs the counts of connections, store calls and datagrams of a gateway so far as one line. */
 public final class TrafficLog {
 
   private static final List<String> NAMES =
@@ -16,13 +16,13 @@
   private final GatewayMetrics metrics;
   private final EventLog log;
 
-  /** Creates a writer of lines. */
+  /** Creates a writer of traffic lines. */
   public TrafficLog(GatewayMetrics metrics, EventLog log) {
     this.metrics = metrics;
     this.log = log;
   }
 
-  /** Writes the counts as of now, in the order of their names. */
+  /** Writes the current counts, ordered by name. */
   public void write() {
     EventLine line = log.important("process", "traffic");
     counts().forEach(line::with);
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/metric/package-info.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/metric/package-info.java
@@ -1,4 +1,4 @@
-/** Counters and latency histograms, for whoever scrapes them. */
+/** Counters and latency histograms, exposed for scraping. */
 @NullMarked
 package io.hawthornlb.gateway.metric;
 
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/route/ConfigHolder.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/route/ConfigHolder.java
@@ -7,22 +7,22 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Holds the newest configuration that this process has seen.
+ * Holds the newest configuration that this process has read.
  *
- * <p>A lower version never replaces a higher one: reads of the log may lag, and a caller that has
- * seen a change would be served by the former routes again.
+ * <p>A lower version never replaces a higher one. Reads of the log may lag, and a caller that has
+ * observed a change must not be served by the previous routes again.
  */
 public final class ConfigHolder {
 
   private final List<Consumer<RoutingConfig>> listeners = new ArrayList<>();
   private @Nullable RoutingConfig current;
 
-  /** Returns the configuration in force; empty until one was read. */
+  /** Returns the configuration in force; empty until one has been read. */
   public Optional<RoutingConfig> current() {
     return Optional.ofNullable(current);
   }
 
-  /** Takes a configuration in force if it is newer; returns whether it was. */
+  /** Puts a configuration in force if it is newer than the current one; returns whether it was. */
   public boolean offer(RoutingConfig candidate) {
     RoutingConfig held = current;
     if (held != null && candidate.version() <= held.version()) {
@@ -33,7 +33,7 @@
     return true;
   }
 
-  /** Calls a listener after each change. */
+  /** Adds a listener that is called after each change. */
   public void onChange(Consumer<RoutingConfig> listener) {
     listeners.add(listener);
   }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/route/Route.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/route/Route.java
@@ -6,20 +6,20 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A route of the configuration that is in force.
+ * A route of a configuration.
  *
  * @param name name of the route
- * @param host host that its requests name
- * @param pathPrefix start of its requests' paths; ends with a slash
- * @param kind what may be repeated
- * @param timeout longest time that a request may be kept waiting
- * @param objective time within which an answer is on time
- * @param priority rank among the routes; 0 is the most urgent
+ * @param host host name that its requests contain
+ * @param pathPrefix prefix of its requests' paths; ends with a slash
+ * @param kind kind of the route, which determines whether its requests may be repeated
+ * @param timeout longest time until a request is answered
+ * @param objective target time for a response
+ * @param priority priority among the routes; 0 is the most urgent
  * @param services services that run its requests
- * @param maxAttempts endpoints on which one request may run
- * @param resumable whether a stream may go on at another endpoint
+ * @param maxAttempts number of endpoints on which one request may run
+ * @param resumable whether a stream may be resumed at another endpoint
  * @param completion time after which all results of a job are due; jobs only
- * @param retention time after which an item of a job may be given up; jobs only
+ * @param retention time after which an item of a job may be abandoned; jobs only
  */
 public record Route(
     String name,
@@ -44,7 +44,7 @@
   }
 
   /**
-   * Picks the service of a request by the weights.
+   * Selects the service of a request according to the weights.
    *
    * @param draw random number from 0 (inclusive) to 1 (exclusive)
    */
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/route/RouteKind.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/route/RouteKind.java
@@ -1,13 +1,13 @@
 package io.hawthornlb.gateway.route;
 
-/** What may be repeated on a route. */
+/** Kind of a route, which determines whether requests may be repeated. */
 public enum RouteKind {
   /** A request may run more than once. */
   IDEMPOTENT,
   /** A request may run at most once. */
   ONCE,
-  /** The answer is a series of events. */
+  /** The response is a stream of events. */
   STREAM,
-  /** Requests submit, read and end jobs. */
+  /** Requests submit, read and cancel jobs. */
   JOB
 }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/route/RoutingConfig.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/route/RoutingConfig.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import java.util.stream.Collectors;
 
-/** Configuration of one version: routes and limits. */
+/** One version of the configuration: routes and limits. */
 public final class RoutingConfig {
 
   private final long version;
@@ -27,20 +27,20 @@
     return version;
   }
 
-  /** Returns the bounds on what callers send. */
+  /** Returns the limits for callers. */
   public CallerLimits limits() {
     return limits;
   }
 
-  /** Returns the route whose prefix is the longest that begins a path. */
+  /** Returns the route of the host with the longest prefix that matches the path. */
   public Optional<Route> match(String host, String path) {
-    List<Route> routes = routesByHost.getOrDefault(bare(host), List.of());
+    List<Route> routes = routesByHost.getOrDefault(withoutPort(host), List.of());
     return routes.stream().filter(route -> path.startsWith(route.pathPrefix())).findFirst();
   }
 
-  /** Returns the first route of a host that takes jobs. */
+  /** Returns the first job route of a host. */
   public Optional<Route> jobRoute(String host) {
-    List<Route> routes = routesByHost.getOrDefault(bare(host), List.of());
+    List<Route> routes = routesByHost.getOrDefault(withoutPort(host), List.of());
     return routes.stream().filter(route -> route.kind() == RouteKind.JOB).findFirst();
   }
 
@@ -49,10 +49,10 @@
         Comparator.comparingInt((Route route) -> route.pathPrefix().length()).reversed();
     return routes.stream()
         .sorted(longestFirst)
-        .collect(Collectors.groupingBy(route -> bare(route.host())));
+        .collect(Collectors.groupingBy(route -> withoutPort(route.host())));
   }
 
-  private static String bare(String host) {
+  private static String withoutPort(String host) {
     int port = host.lastIndexOf(':');
     String name = port < 0 ? host : host.substring(0, port);
     return name.toLowerCase(Locale.ROOT);
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/route/ServiceShare.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/route/ServiceShare.java
@@ -3,10 +3,10 @@
 import io.hawthornlb.core.util.Checks;
 
 /**
- * Part of a route's requests that goes to a service.
+ * Share of a route's requests that one service gets.
  *
  * @param service name of the service
- * @param weight weight beside the route's other services
+ * @param weight weight relative to the route's other services
  */
 public record ServiceShare(String service, double weight) {
 
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/route/package-info.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/route/package-info.java
@@ -1,4 +1,4 @@
-/** Routes, services and limits that are in force, by version. */
+/** Routes, services and limits of a configuration version. */
 @NullMarked
 package io.hawthornlb.gateway.route;
 
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/SilentEventLog.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/SilentEventLog.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.jspecify.annotations.Nullable;
 
-/** Event log that keeps the names of events. */
+/** Event log that records only the names of events. */
 public final class SilentEventLog implements EventLog {
 
   private final List<String> events = new ArrayList<>();
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/VirtualLoop.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/VirtualLoop.java
@@ -7,7 +7,7 @@
 import java.time.InstantSource;
 import java.util.concurrent.TimeUnit;
 
-/** Event loop and clock whose time the test moves. */
+/** Event loop and clock whose time is controlled by the test. */
 public final class VirtualLoop implements InstantSource {
 
   private static final Duration STEP = Duration.ofMillis(1);
@@ -15,7 +15,7 @@
   private final EmbeddedChannel channel = new EmbeddedChannel();
   private Instant now = Instant.parse("2026-01-01T00:00:00Z");
 
-  /** Creates a loop whose time stands still. */
+  /** Creates a loop whose time advances only on request. */
   public VirtualLoop() {
     channel.freezeTime();
   }
@@ -25,7 +25,9 @@
     return channel.eventLoop();
   }
 
-  /** Moves time on, a millisecond at a time, and runs what is due. */
+  /**
+   * Advances the time in steps of one millisecond, and runs the tasks that are due after each step.
+   */
   public void advance(Duration time) {
     channel.runPendingTasks();
     for (Duration moved = Duration.ZERO; moved.compareTo(time) < 0; moved = moved.plus(STEP)) {
@@ -36,7 +38,10 @@
     }
   }
 
-  /** Lets time pass in which the loop stands still, and then runs what is due. */
+  /**
+   * Advances the time in one step, as if the loop had been paused, and then runs the tasks that are
+   * due.
+   */
   public void standStill(Duration time) {
     now = now.plus(time);
     channel.advanceTimeBy(time.toMillis(), TimeUnit.MILLISECONDS);
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/decode/ForeignBytes.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/decode/ForeignBytes.java
@@ -16,21 +16,23 @@
 import java.util.concurrent.TimeoutException;
 import java.util.function.Supplier;
 
-/** Bytes that another writer may have written, and bounds on reading them. */
+/**
+ * Creates corrupted bytes as another writer may write them, and limits the cost of reading them.
+ */
 public final class ForeignBytes {
 
-  /** Seed of the properties, so that each run of the build has the same verdict. */
+  /** Seed of the property tests, so that each build has the same result. */
   public static final String SEED = "20261203";
 
-  /** Bytes that reading may take beside a multiple of the value's own, for buffers. */
-  private static final long BASE_BYTES = 1 << 20;
+  /** Memory that a read may allocate for buffers, in addition to a multiple of the value's size. */
+  private static final long MAX_BASE_BYTES = 1 << 20;
 
-  private static final long BYTES_PER_BYTE = 200;
+  private static final long MAX_BYTES_PER_BYTE = 200;
 
-  /** Time for one value; reading takes well under a millisecond. */
-  private static final Duration LONGEST = Duration.ofSeconds(5);
+  /** Time limit for reading one value, which takes well under a millisecond. */
+  private static final Duration TIME_LIMIT = Duration.ofSeconds(5);
 
-  /** Reads values one by one, so that a reader that never ends is noticed. */
+  /** Reads values on a separate thread, so that a read that does not terminate is detected. */
   private static final ExecutorService READER =
       Executors.newSingleThreadExecutor(
           task -> {
@@ -39,7 +41,7 @@
             return thread;
           });
 
-  /** Headers of MessagePack that claim much, beside numbers at their bounds. */
+  /** MessagePack headers that claim large lengths, and numbers at their bounds. */
   private static final byte[][] CLAIMS = {
     {(byte) 0xc6, (byte) 0x7f, (byte) 0xff, (byte) 0xff, (byte) 0xff},
     {(byte) 0xdb, (byte) 0x7f, (byte) 0xff, (byte) 0xff, (byte) 0xff},
@@ -59,9 +61,9 @@
 
   private ForeignBytes() {}
 
-  /** Returns good bytes with some changes. */
-  public static byte[] of(byte[] good, Random random) {
-    byte[] bytes = good.clone();
+  /** Returns a copy of valid bytes with random changes. */
+  public static byte[] of(byte[] valid, Random random) {
+    byte[] bytes = valid.clone();
     int changes = 1 + random.nextInt(3);
     for (int i = 0; i < changes; i++) {
       bytes = changed(bytes, random);
@@ -92,20 +94,20 @@
   }
 
   /**
-   * Returns what is read within bounds of time and memory; empty if it is unreadable. Any other
-   * exception gets through.
+   * Reads a value within limits of time and memory; empty if it is unreadable. Any other exception
+   * fails the test.
    */
   public static <T> Optional<T> read(int length, Supplier<T> decoder) {
     Future<Optional<T>> read = READER.submit(() -> readHere(length, decoder));
     try {
-      return read.get(LONGEST.toMillis(), TimeUnit.MILLISECONDS);
+      return read.get(TIME_LIMIT.toMillis(), TimeUnit.MILLISECONDS);
     } catch (TimeoutException e) {
-      throw new AssertionError("Reading " + length + " bytes does not end", e);
+      throw new AssertionError("reading " + length + " bytes did not terminate", e);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
-      throw new IllegalStateException("The test was interrupted", e);
+      throw new IllegalStateException("the test was interrupted", e);
     } catch (ExecutionException e) {
-      throw new AssertionError("Reading ended with another exception", e.getCause());
+      throw new AssertionError("reading failed with an unexpected exception", e.getCause());
     }
   }
 
@@ -118,8 +120,10 @@
       assertTrue(!e.reason().isBlank() && e.getMessage().length() < 500, e.getMessage());
       value = Optional.empty();
     }
-    long taken = allocated() - before;
-    assertTrue(taken < BASE_BYTES + BYTES_PER_BYTE * length, length + " bytes took " + taken);
+    long allocatedBytes = allocated() - before;
+    assertTrue(
+        allocatedBytes < MAX_BASE_BYTES + MAX_BYTES_PER_BYTE * length,
+        "reading " + length + " bytes allocated " + allocatedBytes + " bytes");
     return value;
   }
 
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/decode/IpAddressTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/decode/IpAddressTest.java
@@ -11,12 +11,12 @@
 class IpAddressTest {
 
   @Test
-  void readsFourNumbersAndAPort() {
+  void parsesFourNumbersAndAPort() {
     assertEquals(
         new InetSocketAddress("10.0.200.255", 65_535), IpAddress.parse("at", "10.0.200.255:65535"));
   }
 
-  /** A gateway stands still for seconds while it looks a name up. */
+  /** Guards against a gateway that blocks for seconds while it resolves a host name. */
   @ParameterizedTest
   @ValueSource(
       strings = {
@@ -44,7 +44,7 @@
         "[::1]:80",
         "\u0661\u0660.0.0.1:80"
       })
-  void refusesAllElse(String text) {
+  void rejectsEverythingElse(String text) {
     assertThrows(UnreadableException.class, () -> IpAddress.parse("at", text));
   }
 }
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/event/JsonEventLogTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/event/JsonEventLogTest.java
@@ -31,9 +31,12 @@
         out.toString(StandardCharsets.UTF_8));
   }
 
-  /** Requests stand still because nobody reads standard output, and each line waits for it. */
+  /**
+   * Guards against requests that block because nobody reads standard output and each line waits for
+   * a reader.
+   */
   @Test
-  void neverWaitsForAReader() {
+  void neverBlocksOnASlowReader() {
     CountDownLatch never = new CountDownLatch(1);
     OutputStream blocked =
         new OutputStream() {
@@ -69,11 +72,11 @@
   }
 
   /**
-   * On call nobody finds why requests were refused: thousands of lines about items had used up the
-   * budget of the second.
+   * Guards against a log without the reason for refused requests, because thousands of lines about
+   * items used up the limit of that second.
    */
   @Test
-  void leavesRoomForOtherPartsBesideALoudOne() {
+  void leavesRoomForOtherPartsWhenOnePartLogsTooMuch() {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     JsonEventLog log = new JsonEventLog(clock, out);
     for (int i = 0; i < 5_000; i++) {
@@ -84,7 +87,7 @@
   }
 
   @Test
-  void tellsOnceASecondHowManyLinesWereLeftOut() {
+  void logsTheNumberOfDroppedLinesOncePerSecond() {
     Instant[] now = {Instant.parse("2026-01-01T00:00:00Z")};
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     JsonEventLog log = new JsonEventLog(() -> now[0], out);
@@ -98,9 +101,9 @@
     assertTrue(log.dropped() > 2_000, "dropped " + log.dropped());
   }
 
-  /** Prints what a line costs whoever writes it; bounded widely, since machines differ. */
+  /** Prints the cost of a line for its writer. The bound is wide because machines differ. */
   @Test
-  void costsLittleForEachLine() {
+  void hasALowCostPerLine() {
     Instant[] now = {Instant.parse("2026-01-01T00:00:00Z")};
     JsonEventLog log = new JsonEventLog(() -> now[0], OutputStream.nullOutputStream());
     int lines = 20_000;
@@ -126,9 +129,11 @@
     return out.toString(StandardCharsets.UTF_8).split(text, -1).length - 1;
   }
 
-  /** The process ends, or stands still, because the reader of its output went away. */
+  /**
+   * Guards against a process that exits or blocks because the reader of its output has closed it.
+   */
   @Test
-  void goesOnWhenStandardOutputIsClosed() {
+  void continuesWhenStandardOutputIsClosed() {
     OutputStream closed =
         new OutputStream() {
           @Override
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/loop/AccountedEventLoopTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/loop/AccountedEventLoopTest.java
@@ -29,16 +29,16 @@
   }
 
   @Test
-  void countsTimersApartFromTasks() throws Exception {
+  void countsTimersSeparatelyFromTasks() throws Exception {
     CountDownLatch fired = new CountDownLatch(1);
     loop.submit(() -> loop.schedule(fired::countDown, 1, TimeUnit.MILLISECONDS)).sync();
     assertTrue(fired.await(5, TimeUnit.SECONDS));
     assertEquals(1, counted(WorkKind.TIMER));
-    assertTrue(counted(WorkKind.TASK) >= 2, "the tasks of this test are not counted");
+    assertTrue(counted(WorkKind.TASK) >= 2, "the tasks of this test must be counted");
   }
 
   @Test
-  void countsConnectionsAndWhatIsReadOnThem() throws Exception {
+  void countsConnectionsAndReads() throws Exception {
     CountDownLatch read = new CountDownLatch(1);
     InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
     Channel listening =
@@ -68,7 +68,7 @@
     return loop.submit(() -> loop.account().count(kind)).get();
   }
 
-  /** Marks what it reads as bytes of a caller. */
+  /** Accounts what it reads as a request of a caller. */
   private static final class Reader extends SimpleChannelInboundHandler<Object> {
 
     private final CountDownLatch read;
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/loop/GatheredEventsTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/loop/GatheredEventsTest.java
@@ -22,14 +22,14 @@
   private static final int EVENTS = 1_000;
 
   private final AccountedEventLoop loop = AccountedEventLoop.create();
-  private final Semaphore heard = new Semaphore(0);
+  private final Semaphore received = new Semaphore(0);
 
   @AfterEach
   void stopTheLoop() {
     loop.shutdownGracefully(0, 1, TimeUnit.SECONDS);
   }
 
-  /** Guards against a busy loop that wakes for each of its events. */
+  /** Guards against a busy loop that wakes up for each single event. */
   @Test
   void wakesForSeveralEventsOfABusyLoop() throws Exception {
     Channel listening = listen();
@@ -57,7 +57,7 @@
         LockSupport.parkNanos(pauseNanos);
       }
     }
-    assertTrue(heard.tryAcquire(events, 10, TimeUnit.SECONDS));
+    assertTrue(received.tryAcquire(events, 10, TimeUnit.SECONDS));
   }
 
   /** Returns how often the loop waited for events. */
@@ -65,12 +65,12 @@
     return loop.submit(() -> loop.account().count(WorkKind.SELECT)).get();
   }
 
-  /** Counts datagrams. */
+  /** Counts received datagrams. */
   private final class Listener extends SimpleChannelInboundHandler<DatagramPacket> {
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
-      heard.release();
+      received.release();
     }
   }
 }
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/loop/ThreadTimesTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/loop/ThreadTimesTest.java
@@ -14,7 +14,7 @@
   @TempDir private Path tasks;
 
   @Test
-  void addsUpThreadsOfAKind() throws IOException {
+  void sumsTheTimesOfThreadsOfAKind() throws IOException {
     thread("1", "java", "3000 10 2");
     thread("2", "loop-2-1", "5000 10 2");
     thread("3", "C1 Comp..hread0", "7000 10 2");
@@ -25,16 +25,18 @@
         new ThreadTimes(tasks).read());
   }
 
-  /** A thread ends between the list and the reading, and the report about all others is lost. */
+  /**
+   * Guards against a report that is lost because one thread ended between the listing and the read.
+   */
   @Test
-  void passesOverAThreadThatHasEnded() throws IOException {
+  void ignoresAThreadThatHasEnded() throws IOException {
     thread("1", "java", "3000 10 2");
     Files.createDirectory(tasks.resolve("2"));
     assertEquals(Map.of("starting", 3L), new ThreadTimes(tasks).read());
   }
 
   @Test
-  void tellsNothingWhereTheSystemDoesNot() {
+  void reportsNothingWhereTheSystemDoesNot() {
     assertEquals(Map.of(), new ThreadTimes(tasks.resolve("none")).read());
   }
 
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/loop/TimerWakesTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/loop/TimerWakesTest.java
@@ -11,7 +11,7 @@
 
   private static final int TIMERS = 200;
 
-  /** One select waits for a timer; another one may find out that it woke early. */
+  /** One select waits for a timer; a second one may follow if the first returned early. */
   private static final int SELECTS_OF_A_TIMER = 2;
 
   private final AccountedEventLoop loop = AccountedEventLoop.create();
@@ -22,7 +22,10 @@
     loop.shutdownGracefully();
   }
 
-  /** The loop selects again and again until a timer is due that is less than a millisecond away. */
+  /**
+   * Guards against a loop that selects repeatedly while the next timer is due in less than a
+   * millisecond.
+   */
   @Test
   void sleepsUntilATimerIsDue() throws Exception {
     long before = selects();
@@ -32,7 +35,7 @@
     assertTrue(selects <= SELECTS_OF_A_TIMER * TIMERS, selects + " selects");
   }
 
-  /** Schedules timers one after the other, due at all parts of a millisecond. */
+  /** Schedules timers one after the other, due at different fractions of a millisecond. */
   private void next(int number) {
     loop.schedule(() -> fire(number), 1_000 + number * 1_000 / TIMERS, TimeUnit.MICROSECONDS);
   }
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/loop/WorkAccountTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/loop/WorkAccountTest.java
@@ -10,7 +10,7 @@
   private final WorkAccount account = new WorkAccount(() -> now);
 
   @Test
-  void givesEachPieceOfWorkItsTime() {
+  void accountsTheTimeOfEachWorkItem() {
     account.begin(WorkKind.SELECT);
     now += 5;
     account.begin(WorkKind.TIMER);
@@ -24,9 +24,12 @@
     assertEquals(1, account.count(WorkKind.TIMER));
   }
 
-  /** Reading and decoding go unnoticed, since the kind of an event is known only after them. */
+  /**
+   * Guards against reading and decoding that are accounted to no kind, because the kind of an event
+   * is known only afterwards.
+   */
   @Test
-  void givesAMarkedPieceTheTimeFromItsBeginning() {
+  void accountsAMarkedWorkItemFromItsStart() {
     account.begin(WorkKind.OTHER);
     now += 5;
     account.mark(WorkKind.ITEM);
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/loop/WorkReportTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/loop/WorkReportTest.java
@@ -35,7 +35,7 @@
   }
 
   @Test
-  void tellsTimesOfThreadsAndKindsOfWork() throws Exception {
+  void logsTimesOfThreadsAndKindsOfWork() throws Exception {
     Path thread = Files.createDirectory(tasks.resolve("1"));
     Files.writeString(thread.resolve("comm"), "loop-2-1\n");
     Files.writeString(thread.resolve("schedstat"), "5000 1 1\n");
@@ -48,10 +48,13 @@
     assertTrue(line.matches(".*\"selectMicros\":\\d+,\"selects\":[1-9].*"), line);
   }
 
-  /** The loop's time counts among that of the runtime, since the system cuts its thread's name. */
+  /**
+   * Guards against accounting the loop's time to the runtime because the system truncates the name
+   * of the loop's thread.
+   */
   @Test
   @EnabledOnOs(OS.LINUX)
-  void knowsTheThreadOfTheLoop() throws Exception {
+  void recognizesTheThreadOfTheLoop() throws Exception {
     WorkReport report = new WorkReport(accounted, new ThreadTimes(), log);
     accounted.submit(report::write).sync();
     String line = lines(1)[0];
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/metric/MetricsTextTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/metric/MetricsTextTest.java
@@ -16,20 +16,20 @@
     metrics.count("requests.answered", "r1");
     metrics.count("requests.answered", "r1");
     metrics.time("requests.first", "r1", Duration.ofMillis(60));
-    String figures = text.write();
-    assertTrue(figures.contains("requests_answered_total{by=\"r1\"} 2.0"), figures);
-    assertTrue(figures.contains("requests_first_upto_total{by=\"r1\",le_ms=\"64\"} 1.0"), figures);
-    assertTrue(figures.contains("requests_first_upto_total{by=\"r1\",le_ms=\"32\"} 0.0"), figures);
+    String output = text.write();
+    assertTrue(output.contains("requests_answered_total{by=\"r1\"} 2.0"), output);
+    assertTrue(output.contains("requests_first_upto_total{by=\"r1\",le_ms=\"64\"} 1.0"), output);
+    assertTrue(output.contains("requests_first_upto_total{by=\"r1\",le_ms=\"32\"} 0.0"), output);
   }
 
-  /** A process runs out of memory because each new label makes a series. */
+  /** Guards against a process that runs out of memory because each new label creates a series. */
   @Test
-  void boundsTheNumberOfSeries() {
+  void limitsTheNumberOfSeries() {
     for (int i = 0; i < 1_000; i++) {
       metrics.count("requests.answered", "r" + i);
     }
-    String figures = text.write();
-    assertTrue(figures.contains("by=\"others\""), "others");
-    assertFalse(figures.contains("by=\"r900\""), "r900");
+    String output = text.write();
+    assertTrue(output.contains("by=\"others\""), "others");
+    assertFalse(output.contains("by=\"r900\""), "r900");
   }
 }
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/metric/TrafficLogTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/metric/TrafficLogTest.java
@@ -11,7 +11,10 @@
 
 class TrafficLogTest {
 
-  /** Guards against days whose processes are killed before anybody reads what they opened. */
+  /**
+   * Guards against losing the traffic counts of a process that is killed before its metrics are
+   * read.
+   */
   @Test
   void writesCountsOfTrafficAsOneLine() {
     GatewayMetrics metrics = new GatewayMetrics();
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/route/RoutingConfigTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/route/RoutingConfigTest.java
@@ -22,7 +22,7 @@
   }
 
   @Test
-  void drawsServicesByTheirWeights() {
+  void selectsServicesByTheirWeights() {
     Route split =
         new Route(
             "r",
@@ -43,11 +43,11 @@
   }
 
   /**
-   * A caller that was served by a new route gets the old one again. A read of the log lagged behind
-   * the one before it.
+   * Guards against a caller that is served by a previous route after it was served by a new one,
+   * because a later read of the log lagged behind an earlier one.
    */
   @Test
-  void neverGoesBackToALowerVersion() {
+  void neverReturnsToALowerVersion() {
     ConfigHolder holder = new ConfigHolder();
     assertTrue(holder.offer(config(7)));
     assertFalse(holder.offer(config(6)));
