--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/endpoint/EndpointDirectory.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/endpoint/EndpointDirectory.java
@@ -11,87 +11,92 @@
 import java.util.function.Consumer;
 
 /**
- * The endpoints that may get requests.
+ * The endpoints that may receive requests.
  *
- * <p>Failure: while the store was away, entries of endpoints that live lapse, and come back when
- * the endpoints reach the store again. It shows as removals right after an outage, of up to all
- * endpoints at once. Guard: a removal that is seen within {@link #RETURN_GRACE} of the end of an
- * outage takes effect at the end of that span, unless the entry is back by then.
+ * <p>While the store is unreachable, the entries of healthy endpoints expire; the endpoints write
+ * them again when they reach the store. Right after an outage, removals of up to all endpoints may
+ * therefore arrive at once. A removal within {@link #RETURN_GRACE} of the end of an outage takes
+ * effect at the end of that span, and is cancelled if the entry is written again before.
  *
- * <p>Failure: an endpoint starts again under its id. It shows as an entry with a later start; what
- * was learned of the former life holds the new one back, and an entry of the former life that was
- * written late sends requests where nobody is. Guard: the latest start of each id is remembered, an
- * entry with an earlier one changes nothing, and whoever keeps something by endpoint is told once
- * of each new life.
+ * <p>An endpoint may restart under the same id, which shows as an entry with a later start. State
+ * about the former incarnation would restrict the new one, and an entry of the former incarnation
+ * that arrives late would send requests to an address where nothing listens. The directory
+ * therefore remembers the latest start of each id, ignores an entry with an earlier start, and
+ * notifies its listeners once of each new incarnation, so that they discard what they keep about
+ * the former one.
  */
 public final class EndpointDirectory {
 
-  /** Time within which lapsed entries are back after an outage; 2 s by contract and a margin. */
+  /**
+   * Time within which expired entries are written again after an outage: 2 s by contract, plus a
+   * margin.
+   */
   public static final Duration RETURN_GRACE = Duration.ofMillis(2_300);
 
   /**
-   * Longest time for which a removed entry stays in use, outage or not. An endpoint that leaves may
-   * get nothing 2 s after its removal; taking it out of use takes a read and a placement.
+   * Longest time for which a removed entry stays in use, also after an outage. An endpoint that
+   * leaves must receive nothing 2 s after its removal, and to stop using the endpoint takes a read
+   * and a placement.
    */
   public static final Duration MAX_GRACE = Duration.ofMillis(1_600);
 
   /**
-   * Ids whose latest start is remembered; entries come late by seconds, and a fleet starts some
-   * hundred endpoints a day.
+   * Number of ids whose latest start is remembered. Late entries arrive seconds late, and a fleet
+   * starts some hundred endpoints a day.
    */
   private static final int MAX_STARTS = 10_000;
 
   private final Map<String, EndpointRecord> records = new LinkedHashMap<>();
   private final Map<String, List<EndpointRecord>> usable = new HashMap<>();
-  private final Map<String, Instant> lapsed = new HashMap<>();
+  private final Map<String, Instant> expiring = new HashMap<>();
   private final Map<String, Long> starts = new HashMap<>();
   private final List<Consumer<EndpointRecord>> removalListeners = new ArrayList<>();
-  private final List<Consumer<EndpointLife>> lifeListeners = new ArrayList<>();
+  private final List<Consumer<EndpointLife>> restartListeners = new ArrayList<>();
   private final List<Runnable> changeListeners = new ArrayList<>();
   private Instant outageEnd = Instant.MIN;
 
-  /** Takes an entry as it was written last, unless a former life of the endpoint wrote it. */
+  /** Adds or updates an entry, unless a former incarnation of the endpoint wrote it. */
   public void put(EndpointRecord entry) {
     if (former(entry.life())) {
       return;
     }
-    lapsed.remove(entry.id());
-    EndpointRecord former = records.put(entry.id(), entry);
+    expiring.remove(entry.id());
+    EndpointRecord previous = records.put(entry.id(), entry);
     if (starts.size() >= MAX_STARTS) {
       starts.keySet().retainAll(records.keySet());
     }
     Long start = starts.put(entry.id(), entry.born());
     if (start != null && start < entry.born()) {
-      lifeListeners.forEach(listener -> listener.accept(entry.life()));
+      restartListeners.forEach(listener -> listener.accept(entry.life()));
     }
-    if (!entry.equals(former)) {
-      changed();
+    if (!entry.equals(previous)) {
+      onChanged();
     }
   }
 
-  /** Takes the removal of an entry. */
+  /** Handles the removal of an entry, which may take effect later after an outage. */
   public void remove(String id, Instant now) {
     if (!records.containsKey(id)) {
       return;
     }
-    Instant returned = outageEnd.plus(RETURN_GRACE);
-    if (now.isBefore(returned)) {
+    Instant graceEnd = outageEnd.plus(RETURN_GRACE);
+    if (now.isBefore(graceEnd)) {
       Instant latest = now.plus(MAX_GRACE);
-      lapsed.putIfAbsent(id, latest.isBefore(returned) ? latest : returned);
+      expiring.putIfAbsent(id, latest.isBefore(graceEnd) ? latest : graceEnd);
       return;
     }
     drop(id);
   }
 
   /**
-   * Takes that the entry of an endpoint cannot be read any more: it is there and names no endpoint,
-   * so that, unlike one that is missing after an outage, it is not waited for.
+   * Removes an endpoint at once because its entry has become unreadable. The directory does not
+   * wait for such an entry, unlike for one that is missing after an outage.
    */
   public void withdraw(String id) {
     drop(id);
   }
 
-  /** Takes the whole list, as read at once; entries that it lacks count as removed. */
+  /** Replaces all entries by a complete list; entries missing from the list count as removed. */
   public void replaceAll(List<EndpointRecord> entries, Instant now) {
     entries.forEach(this::put);
     List<String> present = entries.stream().map(EndpointRecord::id).toList();
@@ -99,40 +104,41 @@
     missing.forEach(id -> remove(id, now));
   }
 
-  /** Notes that the store answers again after an outage. */
+  /** Records that the store answers again after an outage. */
   public void outageEnded(Instant now) {
     outageEnd = now;
   }
 
-  /** Drops the entries that have not come back in time. */
+  /** Drops the removed entries whose grace period has ended. */
   public void expire(Instant now) {
     List<String> due =
-        lapsed.entrySet().stream()
+        expiring.entrySet().stream()
             .filter(entry -> !now.isBefore(entry.getValue()))
             .map(Map.Entry::getKey)
             .toList();
     due.forEach(this::drop);
   }
 
-  /** Returns an entry, also of an endpoint that is leaving. */
+  /** Returns the entry of an endpoint, including one that is leaving. */
   public Optional<EndpointRecord> find(String id) {
     return Optional.ofNullable(records.get(id));
   }
 
-  /** Returns the endpoints of a service that take new requests. */
+  /** Returns the endpoints of a service that accept new requests. */
   public List<EndpointRecord> usable(String service) {
-    // Asked for each decision about a slot, and changed a few times a minute.
+    // Cached, because each decision about a slot needs the list, which changes a few times a
+    // minute.
     return usable.computeIfAbsent(service, this::findUsable);
   }
 
-  /** Returns whether a later life of the endpoint has begun. */
+  /** Returns whether a later incarnation of the endpoint is known. */
   public boolean former(EndpointLife life) {
     Long start = starts.get(life.id());
     return start != null && life.born() < start;
   }
 
-  /** Returns whether the list has told of an earlier life of the endpoint alone. */
-  public boolean unheard(EndpointLife life) {
+  /** Returns whether the directory knows only an earlier incarnation of the endpoint. */
+  public boolean isNewerThanKnown(EndpointLife life) {
     Long start = starts.get(life.id());
     return start != null && start < life.born();
   }
@@ -142,17 +148,17 @@
     return records.size();
   }
 
-  /** Calls a listener after an endpoint was dropped. */
+  /** Adds a listener that is called after an endpoint was dropped. */
   public void onRemoval(Consumer<EndpointRecord> listener) {
     removalListeners.add(listener);
   }
 
-  /** Calls a listener once when an endpoint that was known by its id has started again. */
+  /** Adds a listener that is called once for each restart of a known endpoint. */
   public void onNewLife(Consumer<EndpointLife> listener) {
-    lifeListeners.add(listener);
+    restartListeners.add(listener);
   }
 
-  /** Calls a listener after each change. */
+  /** Adds a listener that is called after each change. */
   public void onChange(Runnable listener) {
     changeListeners.add(listener);
   }
@@ -164,15 +170,15 @@
   }
 
   private void drop(String id) {
-    lapsed.remove(id);
+    expiring.remove(id);
     EndpointRecord entry = records.remove(id);
     if (entry != null) {
       removalListeners.forEach(listener -> listener.accept(entry));
-      changed();
+      onChanged();
     }
   }
 
-  private void changed() {
+  private void onChanged() {
     usable.clear();
     changeListeners.forEach(Runnable::run);
   }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/endpoint/EndpointLife.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/endpoint/EndpointLife.java
@@ -3,15 +3,15 @@
 import io.hawthornlb.core.util.Checks;
 
 /**
- * One life of an endpoint: an endpoint may start again under its id, and then knows nothing of what
- * it was told before.
+ * One incarnation of an endpoint. An endpoint may restart under the same id and then has lost all
+ * state of its former incarnation.
  *
  * @param id id of the endpoint
- * @param born Unix millisecond of the start; {@link #UNKNOWN} if nobody said
+ * @param born Unix time of the start in milliseconds; {@link #UNKNOWN} if not reported
  */
 public record EndpointLife(String id, long born) {
 
-  /** Start that nobody said; any start that was said is later. */
+  /** Start time that was not reported; any reported start is later. */
   public static final long UNKNOWN = -1;
 
   /** Checks the arguments. */
@@ -19,17 +19,18 @@
     Checks.hasText(id, "id");
   }
 
-  /** Returns the life of an endpoint that did not say when it started. */
+  /** Returns the incarnation of an endpoint that did not report its start. */
   public static EndpointLife ofUnknownStart(String id) {
     return new EndpointLife(id, UNKNOWN);
   }
 
-  /** Returns whether another life of the same endpoint began before this one. */
+  /** Returns whether another incarnation of the same endpoint started before this one. */
   public boolean follows(EndpointLife other) {
     return id.equals(other.id) && born > other.born;
   }
 
-  // Written out, as in other keys: the generated ones are linked at run time, in some milliseconds.
+  // Written explicitly, as in other keys, because the generated methods of a record are linked at
+  // run time, which takes some milliseconds.
   @Override
   public boolean equals(Object other) {
     return other instanceof EndpointLife life && born == life.born && id.equals(life.id);
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/endpoint/EndpointRecord.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/endpoint/EndpointRecord.java
@@ -4,15 +4,15 @@
 import java.net.InetSocketAddress;
 
 /**
- * An endpoint as it registered itself.
+ * An endpoint as registered by itself.
  *
- * @param id id of the endpoint, which it keeps when it starts again
- * @param service service that it belongs to
- * @param address where it takes requests
- * @param dataCentre data centre that it stands in
- * @param slots requests that it runs at once
- * @param leaving whether it takes no new requests
- * @param born Unix millisecond of its start; {@link EndpointLife#UNKNOWN} if it does not say
+ * @param id id of the endpoint, stable across restarts
+ * @param service service that the endpoint belongs to
+ * @param address address at which the endpoint accepts requests
+ * @param dataCentre data centre of the endpoint
+ * @param slots number of requests that the endpoint runs concurrently
+ * @param leaving whether the endpoint accepts no new requests
+ * @param born Unix time of its start in milliseconds; {@link EndpointLife#UNKNOWN} if not reported
  */
 public record EndpointRecord(
     String id,
@@ -30,7 +30,7 @@
     Checks.isTrue(slots > 0, "slots must be positive");
   }
 
-  /** Creates the entry of an endpoint that does not say when it started. */
+  /** Creates the entry of an endpoint that does not report its start. */
   public EndpointRecord(
       String id,
       String service,
@@ -41,12 +41,13 @@
     this(id, service, address, dataCentre, slots, leaving, EndpointLife.UNKNOWN);
   }
 
-  /** Returns which life of the endpoint wrote the entry. */
+  /** Returns the incarnation of the endpoint that wrote the entry. */
   public EndpointLife life() {
     return new EndpointLife(id, born);
   }
 
-  // Written out: the generated ones are linked at run time, in some milliseconds.
+  // Written explicitly because the generated methods of a record are linked at run time, which
+  // takes some milliseconds.
   @Override
   public boolean equals(Object other) {
     return other instanceof EndpointRecord entry
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/endpoint/package-info.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/endpoint/package-info.java
@@ -1,4 +1,4 @@
-/** The list of endpoints as this instance knows it. */
+/** The list of endpoints known to this instance. */
 @NullMarked
 package io.hawthornlb.gateway.endpoint;
 
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/peer/CountedPeerTransport.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/peer/CountedPeerTransport.java
@@ -3,7 +3,7 @@
 import io.hawthornlb.gateway.metric.GatewayMetrics;
 import java.util.function.Consumer;
 
-/** Transport that counts messages by kind. */
+/** Transport that counts sent and received messages by kind. */
 public final class CountedPeerTransport implements PeerTransport {
 
   private static final String SENT = "datagrams.sent";
@@ -12,7 +12,7 @@
   private final PeerTransport transport;
   private final GatewayMetrics metrics;
 
-  /** Creates a transport that passes messages on to another one. */
+  /** Creates a transport that delegates to another one. */
   public CountedPeerTransport(PeerTransport transport, GatewayMetrics metrics) {
     this.transport = transport;
     this.metrics = metrics;
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/peer/FleetSlotClient.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/peer/FleetSlotClient.java
@@ -27,31 +27,35 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Asks the coordinator of a service for slots, and is the coordinator of some services itself.
+ * Requests slots from the coordinator of a service, and acts as the coordinator of some services
+ * itself.
  *
- * <p>The coordinator is the first process that answers, in an order that all processes compute
- * alike. Failure: it is killed, frozen or cut off. It shows as a question without an answer. Guard:
- * the question is repeated once, then goes to the next process, and at last to this process itself,
- * which then places by what it knows alone. Holders renew their uses at whomever they ask now, so a
- * new coordinator knows them within a second.
+ * <p>All processes compute the same order of candidates for a service, and the first candidate that
+ * answers is the coordinator. A coordinator that is killed, frozen or partitioned from the network
+ * leaves a request for a slot unanswered. The client then repeats the request once, sends it to the
+ * next candidate, and finally decides in this process with local knowledge alone. Holders of slots
+ * renew their uses at the current coordinator, so a new coordinator knows all uses within a second.
  */
 public final class FleetSlotClient implements SlotClient {
 
-  /** Time after which a question is repeated; a round trip is 1 to 3 ms, a busy core adds 10. */
-  private static final Duration REPEAT_AFTER = Duration.ofMillis(25);
+  /**
+   * Time after which an unanswered request is repeated; a round trip takes 1 to 3 ms, a busy core
+   * adds 10 ms.
+   */
+  private static final Duration RESEND_AFTER = Duration.ofMillis(25);
 
-  /** Questions to one process before the next one is asked. */
-  private static final int TRIES_PER_INSTANCE = 2;
+  /** Number of times a request is sent to one process before the next process is asked. */
+  private static final int ATTEMPTS_PER_INSTANCE = 2;
 
-  /** Other processes that are asked before this one decides alone. */
+  /** Number of other processes that are asked before this one decides alone. */
   private static final int INSTANCES_ASKED = 2;
 
-  /** Time beyond the longest wait after which a lost answer is taken for a refusal. */
+  /** Time beyond the longest wait after which a missing answer counts as a refusal. */
   private static final Duration ANSWER_MARGIN = Duration.ofMillis(60);
 
   private static final Duration RENEW_EVERY = Duration.ofSeconds(1);
 
-  /** Granularity of waits in a coordinator. */
+  /** Interval at which a coordinator checks the requests that wait. */
   private static final Duration TICK = Duration.ofMillis(20);
 
   private final FleetView fleet;
@@ -63,17 +67,19 @@
   private final Map<String, SlotCoordinator> coordinators = new HashMap<>();
   private final Map<SlotKey, Pending> pending = new HashMap<>();
 
-  /** Names of the processes that coordinated the services last. */
+  /** Names of the last known coordinators by service. */
   private final Map<String, String> lastAsked = new HashMap<>();
 
-  /** Names of the processes by their starts; answers go to these. */
+  /**
+   * Names of the processes by boot id; answers to a holder are sent to the process with that name.
+   */
   private final Map<String, String> senders = new HashMap<>();
 
   private long nextNumber;
   private boolean ticking;
   private boolean renewing;
 
-  /** Creates a client; all its work happens on the executor. */
+  /** Creates a client that does all its work on the executor. */
   public FleetSlotClient(
       FleetView fleet,
       PeerTransport transport,
@@ -87,7 +93,7 @@
     this.executor = executor;
     this.clock = clock;
     this.log = log;
-    transport.onMessage(this::received);
+    transport.onMessage(this::onMessageReceived);
   }
 
   @Override
@@ -101,7 +107,7 @@
     Pending asked = new Pending(request, listener);
     pending.put(request.key(), asked);
     asked.askNext();
-    renewSoon();
+    scheduleRenewal();
   }
 
   @Override
@@ -111,7 +117,7 @@
       return;
     }
     ended.stopTimer();
-    SlotOutcome told = ended.asTold(outcome);
+    SlotOutcome told = ended.reportedOutcome(outcome);
     GatewayInstance coordinator = ended.coordinator;
     String service = ended.request.service();
     if (coordinator.equals(fleet.self())) {
@@ -166,14 +172,14 @@
     fleet.others().forEach(other -> transport.send(other, notice));
   }
 
-  private void received(PeerCodec.Envelope envelope) {
-    fleet.heard(envelope.sender());
+  private void onMessageReceived(PeerCodec.Envelope envelope) {
+    fleet.recordContact(envelope.sender());
     PeerMessage message = envelope.message();
     Instant now = clock.instant();
     if (message instanceof PeerMessage.Ask ask) {
       senders.put(ask.request().key().holder(), envelope.sender());
       deliver(local(ask.request().service()).request(ask.request(), now));
-      tickSoon();
+      scheduleTick();
     } else if (message instanceof PeerMessage.Answer answer) {
       answered(answer.answer(), envelope.sender());
     } else if (message instanceof PeerMessage.Release release) {
@@ -187,7 +193,7 @@
     } else if (message instanceof PeerMessage.Renew renew) {
       senders.put(renew.holder(), envelope.sender());
       local(renew.service()).renew(renew.holder(), renew.uses(), now);
-      tickSoon();
+      scheduleTick();
     }
   }
 
@@ -206,11 +212,12 @@
   }
 
   /**
-   * Hands an answer to the request that waits for it.
+   * Passes an answer to the request that waits for it.
    *
-   * <p>Failure: a coordinator that seemed silent answers after the next one has granted the
-   * request. Its refusal would end a request that runs, as not run. Guard: only answers of the
-   * coordinator that was asked last count, and a slot that another one granted is given back.
+   * <p>A coordinator that seemed unresponsive may answer after the next coordinator has granted the
+   * request. Its refusal would report a running request as not run. The client therefore accepts
+   * only answers of the coordinator that was asked last, and releases a slot that another
+   * coordinator granted.
    */
   private void answered(SlotAnswer answer, String sender) {
     Pending asked = pending.get(answer.key());
@@ -225,7 +232,7 @@
     }
   }
 
-  private void tickSoon() {
+  private void scheduleTick() {
     if (!ticking) {
       ticking = true;
       executor.schedule(this::tick, TICK.toMillis(), TimeUnit.MILLISECONDS);
@@ -241,11 +248,11 @@
       busy |= coordinator.busy();
     }
     if (busy) {
-      tickSoon();
+      scheduleTick();
     }
   }
 
-  private void renewSoon() {
+  private void scheduleRenewal() {
     if (!renewing) {
       renewing = true;
       executor.schedule(this::renew, RENEW_EVERY.toMillis(), TimeUnit.MILLISECONDS);
@@ -258,15 +265,18 @@
     uses.forEach(
         (service, ofService) -> {
           GatewayInstance coordinator = fleet.ranked(service, clock.instant()).get(0);
-          moveTo(coordinator, service);
+          switchCoordinator(coordinator, service);
           renewAt(coordinator, service, ofService);
         });
     if (!uses.isEmpty()) {
-      renewSoon();
+      scheduleRenewal();
     }
   }
 
-  /** Returns the uses of this process by service; a service that is only waited for has none. */
+  /**
+   * Returns the slots that this process uses, by service. A service with only waiting requests has
+   * an empty list.
+   */
   private Map<String, List<SlotUse>> uses() {
     Map<String, List<SlotUse>> uses = new HashMap<>();
     for (Pending held : pending.values()) {
@@ -280,22 +290,23 @@
   }
 
   /**
-   * Moves to another coordinator of a service with all that this process has there.
+   * Switches to a new coordinator of a service, and registers all uses and waiting requests of this
+   * process there.
    *
-   * <p>Failure: a coordinator ends or is cut off. It shows as slots that the next one hands out a
-   * second time, since it learns of their uses with the next renewal, and as items that go on
-   * waiting at the former one. Guard: whoever finds a new coordinator tells it of its uses first,
-   * and asks it for all that waits.
+   * <p>When a coordinator ends or is partitioned from the network, its successor learns of existing
+   * uses only with the next renewal. Until then the successor could grant the same slots a second
+   * time, and batch items would keep waiting at the former coordinator. A process that finds a new
+   * coordinator therefore sends its uses first, and then repeats all requests that wait.
    */
-  private void moveTo(GatewayInstance coordinator, String service) {
+  private void switchCoordinator(GatewayInstance coordinator, String service) {
     String former = lastAsked.put(service, coordinator.name());
     if (former == null || former.equals(coordinator.name())) {
       return;
     }
     renewAt(coordinator, service, uses().getOrDefault(service, List.of()));
     for (Pending each : List.copyOf(pending.values())) {
-      if (each.waitsAt(former, service)) {
-        each.askAnew();
+      if (each.isWaitingAt(former, service)) {
+        each.restart();
       }
     }
   }
@@ -304,21 +315,21 @@
     String holder = fleet.self().boot();
     if (coordinator.equals(fleet.self())) {
       local(service).renew(holder, uses, clock.instant());
-      tickSoon();
+      scheduleTick();
     } else {
       transport.send(coordinator, new PeerMessage.Renew(service, holder, uses));
     }
   }
 
-  /** A request for a slot, until its use has ended. */
+  /** A request for a slot, from the first attempt until the use of the slot has ended. */
   private final class Pending {
 
     private final SlotRequest request;
     private final Listener listener;
     private GatewayInstance coordinator = fleet.self();
-    private int tries;
+    private int attempts;
     private int asked;
-    private boolean waits;
+    private boolean queued;
     private @Nullable EndpointLife endpoint;
     private Instant grantedAt = Instant.MAX;
     private @Nullable ScheduledFuture<?> timer;
@@ -333,23 +344,23 @@
       boolean alone = asked >= INSTANCES_ASKED || ranked.isEmpty();
       coordinator = alone ? fleet.self() : ranked.get(0);
       asked++;
-      tries = 0;
+      attempts = 0;
       if (!alone) {
-        moveTo(coordinator, request.service());
+        switchCoordinator(coordinator, request.service());
       }
       ask();
     }
 
-    private boolean waitsAt(String instance, String service) {
+    private boolean isWaitingAt(String instance, String service) {
       return pending.get(request.key()) == this
-          && waits
+          && queued
           && coordinator.name().equals(instance)
           && request.service().equals(service);
     }
 
-    private void askAnew() {
+    private void restart() {
       stopTimer();
-      waits = false;
+      queued = false;
       asked = 0;
       askNext();
     }
@@ -357,23 +368,23 @@
     private void ask() {
       if (coordinator.equals(fleet.self())) {
         deliver(local(request.service()).request(request, clock.instant()));
-        tickSoon();
+        scheduleTick();
         return;
       }
-      tries++;
+      attempts++;
       transport.send(coordinator, new PeerMessage.Ask(request));
-      timer = executor.schedule(this::noAnswer, REPEAT_AFTER.toMillis(), TimeUnit.MILLISECONDS);
+      timer = executor.schedule(this::onNoAnswer, RESEND_AFTER.toMillis(), TimeUnit.MILLISECONDS);
     }
 
-    private void noAnswer() {
+    private void onNoAnswer() {
       if (pending.get(request.key()) != this) {
         return;
       }
-      if (tries < TRIES_PER_INSTANCE) {
+      if (attempts < ATTEMPTS_PER_INSTANCE) {
         ask();
         return;
       }
-      fleet.silent(coordinator.name(), clock.instant());
+      fleet.recordSilence(coordinator.name(), clock.instant());
       log.important("slot", "coordinator.silent")
           .with("service", request.service())
           .with("instance", coordinator.name())
@@ -384,17 +395,17 @@
     private void answered(SlotAnswer answer) {
       boolean granted = endpoint != null;
       if (granted && !(answer instanceof SlotAnswer.Revoked)) {
-        // A repeated question was answered twice.
+        // The coordinator answered a repeated request twice.
         return;
       }
       stopTimer();
-      waits = answer instanceof SlotAnswer.Waiting;
+      queued = answer instanceof SlotAnswer.Waiting;
       if (answer instanceof SlotAnswer.Waiting waiting) {
         Duration longest = waiting.atMost().plus(ANSWER_MARGIN);
-        timer = executor.schedule(this::lost, longest.toMillis(), TimeUnit.MILLISECONDS);
+        timer = executor.schedule(this::onAnswerLost, longest.toMillis(), TimeUnit.MILLISECONDS);
       } else if (answer instanceof SlotAnswer.Granted grant) {
-        // Of two lives the later one runs: the endpoint is where this process's list says, or has
-        // started since.
+        // The later of two incarnations is the running one: either the endpoint is at the address
+        // that this process's list has, or it has restarted since.
         EndpointLife listed =
             directory.find(grant.endpoint()).map(EndpointRecord::life).orElse(grant.life());
         EndpointLife life = listed.follows(grant.life()) ? listed : grant.life();
@@ -408,15 +419,17 @@
     }
 
     /**
-     * Returns the outcome as the coordinator is to count it.
+     * Returns the outcome that is reported to the coordinator.
      *
-     * <p>Failure: the coordinator knows that an endpoint has started again, and this process does
-     * not. Requests go to where the endpoint stood, and the pause for that would hold the new life
-     * back. Guard: that this process's list is behind counts against no endpoint.
+     * <p>The coordinator may know of an endpoint's restart before this process does. Requests of
+     * this process then go to the endpoint's former address, and the pause that follows such a
+     * failure would be applied to the new incarnation. A failure caused by an outdated list of this
+     * process is therefore reported as {@link SlotOutcome#ABANDONED}, which counts against no
+     * endpoint.
      */
-    private SlotOutcome asTold(SlotOutcome outcome) {
+    private SlotOutcome reportedOutcome(SlotOutcome outcome) {
       boolean notThere = outcome == SlotOutcome.REPLACED || outcome == SlotOutcome.UNREACHED;
-      boolean behind = endpoint != null && directory.unheard(endpoint);
+      boolean behind = endpoint != null && directory.isNewerThanKnown(endpoint);
       return notThere && behind ? SlotOutcome.ABANDONED : outcome;
     }
 
@@ -430,12 +443,12 @@
           left.isNegative() ? Duration.ZERO : left);
     }
 
-    private void lost() {
+    private void onAnswerLost() {
       if (pending.remove(request.key()) == this) {
-        fleet.silent(coordinator.name(), clock.instant());
+        fleet.recordSilence(coordinator.name(), clock.instant());
         log.important("slot", "answer.lost").with("service", request.service()).write();
         listener.onAnswer(
-            new SlotAnswer.Refused(request.key(), REPEAT_AFTER, SlotAnswer.Load.UNKNOWN));
+            new SlotAnswer.Refused(request.key(), RESEND_AFTER, SlotAnswer.Load.UNKNOWN));
       }
     }
 
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/peer/FleetView.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/peer/FleetView.java
@@ -13,30 +13,41 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The processes of the fleet as this one knows them, and which of them do not answer.
+ * The processes of the fleet known to this process, and which of them are suspected to be
+ * unresponsive.
  *
- * <p>Failure: a process is killed, frozen or cut off while the list still names it. It shows as
- * datagrams without an answer. Guard: one that did not answer is passed over for a time that
- * doubles with each silence, until a datagram of it arrives.
+ * <p>The list of instances may still name a process that is killed, frozen or partitioned from the
+ * network, and datagrams to that process get no answer. The view excludes a process that did not
+ * answer for a time that doubles with each missing answer, until a datagram from that process
+ * arrives.
  */
 public final class FleetView {
 
-  /** First time for which a silent process is passed over; about a restart. */
+  /** First time for which an unresponsive process is excluded; about the duration of a restart. */
   private static final Duration FIRST_SUSPICION = Duration.ofMillis(1_200);
 
-  /** Longest such time; after a cut has healed, both sides agree again within it. */
+  /**
+   * Longest exclusion. After a network partition has healed, both sides agree on the order again
+   * within this time.
+   */
   private static final Duration MAX_SUSPICION = Duration.ofSeconds(4);
 
-  /** Silent processes after which their whole data centre is passed over. */
-  private static final int SILENT_FOR_DATA_CENTRE = 2;
+  /**
+   * Number of unresponsive processes in a data centre after which the whole data centre is
+   * excluded.
+   */
+  private static final int UNRESPONSIVE_FOR_DATA_CENTRE = 2;
 
-  /** Orders that are kept; there are some ten services, and a partition of jobs is a key, too. */
-  private static final int MAX_ORDERS = 100;
+  /**
+   * Maximum number of cached orders. There are about ten services, and each partition of the jobs
+   * is a key as well.
+   */
+  private static final int MAX_CACHED_ORDERS = 100;
 
   private static final Comparator<GatewayInstance> BY_SIZE =
       Comparator.comparingDouble(GatewayInstance::cores).reversed();
 
-  private record Suspicion(int silences, Instant until) {}
+  private record Suspicion(int missedAnswers, Instant until) {}
 
   private final GatewayInstance self;
   private final Map<String, GatewayInstance> instances = new HashMap<>();
@@ -45,7 +56,7 @@
   private final Map<String, List<GatewayInstance>> orders = new HashMap<>();
   private @Nullable RendezvousHash hash;
 
-  /** Creates a view that holds this process alone. */
+  /** Creates a view that contains this process alone. */
   public FleetView(GatewayInstance self) {
     this.self = self;
     instances.put(self.name(), self);
@@ -56,7 +67,10 @@
     return self;
   }
 
-  /** Takes a process of the list. */
+  /**
+   * Adds or updates a process of the instance list. Clears the suspicion of a process whose entry
+   * changed.
+   */
   public void put(GatewayInstance instance) {
     if (instance.name().equals(self.name())) {
       return;
@@ -65,77 +79,79 @@
     GatewayInstance former = instances.put(instance.name(), instance);
     if (!instance.equals(former)) {
       suspicions.remove(instance.name());
-      changed();
+      invalidateOrders();
     }
   }
 
-  /** Takes the end of a process. */
+  /** Removes a process that has left the instance list. */
   public void remove(String name) {
     if (!name.equals(self.name()) && instances.remove(name) != null) {
-      changed();
+      invalidateOrders();
     }
   }
 
-  private void changed() {
+  private void invalidateOrders() {
     hash = null;
     orders.clear();
   }
 
-  /** Returns a process by its name; null if the list lacks it. */
+  /** Returns a process by its name; null if the list does not contain it. */
   public @Nullable GatewayInstance find(String name) {
     return instances.get(name);
   }
 
   /**
-   * Returns a process by its name as the list last had it; null if it never did.
+   * Returns a process by its name with its last listed address; null if the list never contained
+   * it.
    *
-   * <p>Failure: a process that stops leaves the list at once and handles requests for seconds more.
-   * It shows as questions for slots whose answers are sent nowhere, so that its callers wait for
-   * 0.1 s and slots are kept for nobody. Guard: answers go to where it was last.
+   * <p>A process that stops leaves the list at once but handles requests for some seconds more.
+   * Without its address, answers to its requests for slots could not be sent: its callers would
+   * wait for 0.1 s, and slots would be reserved for nobody. Answers therefore go to its last known
+   * address.
    */
   public @Nullable GatewayInstance lastKnown(String name) {
     return name.equals(self.name()) ? self : lastKnown.get(name);
   }
 
-  /** Returns whether a process, or its whole data centre, seems silent. */
+  /** Returns whether a process or its whole data centre is suspected to be unresponsive. */
   public boolean seemsSilent(String name, Instant now) {
     GatewayInstance instance = lastKnown(name);
-    return suspected(name, now) || (instance != null && cutOff(instance, now));
+    return suspected(name, now) || (instance != null && dataCentreSuspected(instance, now));
   }
 
-  /** Returns the other processes. */
+  /** Returns the listed processes except this one. */
   public List<GatewayInstance> others() {
     return instances.values().stream().filter(each -> !each.equals(self)).toList();
   }
 
-  /** Notes that a process did not answer. */
-  public void silent(String name, Instant now) {
+  /** Records that a process did not answer. */
+  public void recordSilence(String name, Instant now) {
     Suspicion former = suspicions.get(name);
-    int silences = former == null ? 1 : Math.min(former.silences() + 1, 10);
-    Duration doubled = FIRST_SUSPICION.multipliedBy(1L << (silences - 1));
+    int missedAnswers = former == null ? 1 : Math.min(former.missedAnswers() + 1, 10);
+    Duration doubled = FIRST_SUSPICION.multipliedBy(1L << (missedAnswers - 1));
     Duration time = doubled.compareTo(MAX_SUSPICION) > 0 ? MAX_SUSPICION : doubled;
-    suspicions.put(name, new Suspicion(silences, now.plus(time)));
+    suspicions.put(name, new Suspicion(missedAnswers, now.plus(time)));
   }
 
-  /** Notes that a datagram of a process arrived. */
-  public void heard(String name) {
+  /** Records that a datagram of a process arrived. */
+  public void recordContact(String name) {
     if (suspicions.isEmpty()) {
       return;
     }
     suspicions.remove(name);
     GatewayInstance instance = instances.get(name);
     if (instance != null && !instance.dataCentre().equals(self.dataCentre())) {
-      // The data centre is reached again; whoever is still silent there is found out anew.
+      // The data centre is reachable again. Processes there that are still unresponsive are
+      // detected separately.
       suspicions.keySet().removeIf(each -> inDataCentre(each, instance.dataCentre()));
     }
   }
 
   /**
-   * Returns the processes that do not seem silent, in the order in which they serve a key.
+   * Returns the responsive processes in the order in which they serve a key.
    *
-   * <p>Load pattern: in a fleet of instances of several sizes the coordinator of a busy service
-   * decides for all requests, which is too much for a small instance beside its own. So the largest
-   * come first.
+   * <p>The coordinator of a busy service decides for all requests of that service. A small instance
+   * cannot do that beside its own requests, so larger instances come first.
    */
   public List<GatewayInstance> ranked(String key, Instant now) {
     List<GatewayInstance> order = order(key);
@@ -143,18 +159,18 @@
       return order;
     }
     return order.stream()
-        .filter(each -> !suspected(each.name(), now) && !cutOff(each, now))
+        .filter(each -> !suspected(each.name(), now) && !dataCentreSuspected(each, now))
         .toList();
   }
 
   /**
-   * Returns all processes in the order for a key.
+   * Returns all processes in the order for a key, including those suspected to be unresponsive.
    *
-   * <p>Asked for each request, and changed with the list alone: an order is a hash and a comparison
-   * for each process of the fleet.
+   * <p>The order is needed for each request and changes only with the instance list. Computing it
+   * takes one hash and comparison for each process of the fleet, so orders are cached.
    */
   private List<GatewayInstance> order(String key) {
-    if (orders.size() >= MAX_ORDERS && !orders.containsKey(key)) {
+    if (orders.size() >= MAX_CACHED_ORDERS && !orders.containsKey(key)) {
       orders.clear();
     }
     return orders.computeIfAbsent(key, this::newOrder);
@@ -173,36 +189,34 @@
         order.add(instance);
       }
     }
-    // The sort is stable, so that the order by key stays among those of one size.
+    // The sort is stable, so processes of equal size keep the order given by the key.
     order.sort(BY_SIZE);
     return List.copyOf(order);
   }
 
-  /**
-   * Returns the other processes that do not seem silent, in the order in which they serve a key.
-   */
+  /** Returns the responsive processes except this one, in the order in which they serve a key. */
   public List<GatewayInstance> rankedOthers(String key, Instant now) {
     return ranked(key, now).stream().filter(each -> !each.name().equals(self.name())).toList();
   }
 
-  /** Returns the place of this process in the order for a key, from 0. */
+  /** Returns the position of this process in the order for a key, from 0. */
   public int rankOfSelf(String key, Instant now) {
     return ranked(key, now).indexOf(self);
   }
 
-  private boolean cutOff(GatewayInstance instance, Instant now) {
+  private boolean dataCentreSuspected(GatewayInstance instance, Instant now) {
     String dataCentre = instance.dataCentre();
     if (dataCentre.equals(self.dataCentre())) {
       return false;
     }
-    int silent = 0;
+    int unresponsive = 0;
     for (String name : suspicions.keySet()) {
       GatewayInstance suspect = instances.get(name);
       if (suspect != null && suspect.dataCentre().equals(dataCentre) && suspected(name, now)) {
-        silent++;
+        unresponsive++;
       }
     }
-    return silent >= SILENT_FOR_DATA_CENTRE;
+    return unresponsive >= UNRESPONSIVE_FOR_DATA_CENTRE;
   }
 
   private static InstanceId id(String name) {
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/peer/GatewayInstance.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/peer/GatewayInstance.java
@@ -4,13 +4,13 @@
 import java.net.InetSocketAddress;
 
 /**
- * A process of this fleet.
+ * A gateway process of this fleet.
  *
- * @param name name of the instance, which stays over restarts
+ * @param name name of the instance, stable across restarts
  * @param boot id of this start of the process
- * @param address where it takes datagrams from the others
- * @param dataCentre where it stands
- * @param cores processor time that it has, in cores
+ * @param address address for datagrams from other processes
+ * @param dataCentre data centre of the instance
+ * @param cores processor time available to the process, in cores
  */
 public record GatewayInstance(
     String name, String boot, InetSocketAddress address, String dataCentre, double cores) {
@@ -26,7 +26,8 @@
     Checks.hasText(boot, "boot");
   }
 
-  // Written out: the generated ones are linked at run time, in some milliseconds.
+  // Written explicitly because the generated methods of a record are linked at run time, which
+  // takes some milliseconds.
   @Override
   public boolean equals(Object other) {
     return other instanceof GatewayInstance instance
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/peer/PeerCodec.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/peer/PeerCodec.java
@@ -20,7 +20,7 @@
 import org.msgpack.core.MessagePack;
 import org.msgpack.core.MessagePacker;
 
-/** Writes and reads datagrams as MessagePack. */
+/** Encodes and decodes datagrams as MessagePack. */
 public final class PeerCodec {
 
   private static final int ASK = 1;
@@ -36,12 +36,15 @@
   private static final int BARRED = 11;
 
   /**
-   * Longest time that a message tells; batch items wait for minutes at most. What is longer would
-   * overflow when it is added to an instant.
+   * Longest duration that a message may contain; batch items wait for minutes at most. A longer
+   * duration could overflow when it is added to an instant.
    */
   private static final Duration MAX_TIME = Duration.ofHours(6);
 
-  /** Most slots, uses or requests that a message counts, far above those of the largest fleet. */
+  /**
+   * Largest count of slots, uses or requests that a message may contain, far above those of the
+   * largest fleet.
+   */
   private static final int MAX_COUNT = 1_000_000;
 
   private PeerCodec() {}
@@ -54,21 +57,21 @@
    */
   public record Envelope(String sender, PeerMessage message) {}
 
-  /** Returns the bytes of a datagram. */
+  /** Encodes a datagram. */
   public static byte[] encode(Envelope envelope) {
     try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
       packer.packString(envelope.sender());
       pack(packer, envelope.message());
       return packer.toByteArray();
     } catch (IOException e) {
-      throw new UncheckedIOException("A buffer in memory failed", e);
+      throw new UncheckedIOException("writing to an in-memory buffer failed", e);
     }
   }
 
   /**
-   * Returns what a datagram holds.
+   * Decodes a datagram.
    *
-   * @throws UnreadableException if it is none of ours
+   * @throws UnreadableException if the bytes are no valid peer message
    */
   public static Envelope decode(byte[] bytes) {
     return MessageReader.read(
@@ -173,7 +176,7 @@
   private static SlotAnswer unpackRefused(MessageReader reader) throws IOException {
     SlotKey key = unpackKey(reader);
     Duration retryAfter = reader.millis("retryAfter", MAX_TIME);
-    // Counts of -1 say that the refusal was not due to load.
+    // A count of -1 means that load was not the reason for the refusal.
     SlotAnswer.Load seen =
         new SlotAnswer.Load(
             reader.number("slots", -1, MAX_COUNT),
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/peer/PeerHoldNotices.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/peer/PeerHoldNotices.java
@@ -2,13 +2,13 @@
 
 import io.hawthornlb.gateway.job.HoldNotices;
 
-/** Sends notices about held partitions to all other processes of the fleet. */
+/** Sends notices about held partitions to all other processes of the fleet, and receives theirs. */
 public final class PeerHoldNotices implements HoldNotices {
 
   private final FleetView fleet;
   private final PeerTransport transport;
 
-  /** Creates notices over a transport. */
+  /** Creates a sender and receiver of notices over a transport. */
   public PeerHoldNotices(FleetView fleet, PeerTransport transport) {
     this.fleet = fleet;
     this.transport = transport;
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/peer/PeerTransport.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/peer/PeerTransport.java
@@ -2,12 +2,12 @@
 
 import java.util.function.Consumer;
 
-/** Carries messages between processes of the fleet; they may be lost. */
+/** Sends messages between processes of the fleet; a message may be lost. */
 public interface PeerTransport {
 
-  /** Sends a message; does nothing if the process is unknown. */
+  /** Sends a message; has no effect if the process is unknown. */
   void send(GatewayInstance to, PeerMessage message);
 
-  /** Adds a receiver; each gets all messages. */
+  /** Adds a receiver; every receiver gets all messages. */
   void onMessage(Consumer<PeerCodec.Envelope> receiver);
 }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/peer/UdpPeerTransport.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/peer/UdpPeerTransport.java
@@ -28,10 +28,10 @@
   private final String self;
   private final EventLog log;
   private final UnreadableRecords foreign;
-  private final GenericFutureListener<Future<Void>> unsent = this::tellUnsent;
+  private final GenericFutureListener<Future<Void>> sendListener = this::logUnsent;
   private final List<Consumer<PeerCodec.Envelope>> receivers = new ArrayList<>();
 
-  /** Binds a socket and starts to receive. */
+  /** Binds a socket and starts receiving. */
   public UdpPeerTransport(
       EventLoop loop, InetSocketAddress address, String self, InstantSource clock, EventLog log) {
     this.self = self;
@@ -52,11 +52,14 @@
     byte[] bytes = PeerCodec.encode(new PeerCodec.Envelope(self, message));
     channel
         .writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(bytes), to.address()))
-        .addListener(unsent);
+        .addListener(sendListener);
   }
 
-  /** Tells of a datagram that was not sent; its sender notices that no reply comes. */
-  private void tellUnsent(Future<?> sent) {
+  /**
+   * Logs a datagram that could not be sent. The sender of the message detects the missing reply
+   * itself.
+   */
+  private void logUnsent(Future<?> sent) {
     if (!sent.isSuccess()) {
       log.routine("peer", "datagram.unsent").with("cause", String.valueOf(sent.cause())).write();
     }
@@ -83,7 +86,8 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
       if (cause instanceof IOException) {
-        // A port without a listener answers so; the missing reply is noticed by a timeout.
+        // A port without a listener causes this exception. The sender detects the missing reply by
+        // a timeout.
         log.routine("peer", "datagram.failed").with("cause", cause.toString()).write();
       } else {
         log.important("peer", "message.failed").with("cause", String.valueOf(cause)).write();
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/peer/package-info.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/peer/package-info.java
@@ -1,4 +1,4 @@
-/** Messages between the gateways of one fleet. */
+/** Messages between the gateways of one fleet, and the slot client that uses them. */
 @NullMarked
 package io.hawthornlb.gateway.peer;
 
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/endpoint/EndpointDirectoryTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/endpoint/EndpointDirectoryTest.java
@@ -16,7 +16,7 @@
   private final Instant now = Instant.parse("2026-01-01T00:00:00Z");
 
   @Test
-  void offersNothingToEndpointsThatLeave() {
+  void offersNoEndpointThatIsLeaving() {
     directory.put(entry("e1", false));
     directory.put(entry("e2", true));
     assertEquals(List.of("e1"), usable());
@@ -24,7 +24,7 @@
   }
 
   @Test
-  void dropsARemovedEntryAtOnce() {
+  void dropsARemovedEntryImmediately() {
     List<String> removed = new ArrayList<>();
     directory.onRemoval(entry -> removed.add(entry.id()));
     directory.put(entry("e1", false));
@@ -34,11 +34,12 @@
   }
 
   /**
-   * All callers are refused for two seconds after an outage of the store. The entries of all
-   * endpoints had lapsed meanwhile, though the endpoints live and come back within that time.
+   * Guards against refusing all callers for two seconds after an outage of the store. The entries
+   * of all endpoints expired during the outage, although the endpoints are healthy and write their
+   * entries again within that time.
    */
   @Test
-  void keepsEntriesThatLapsedInAnOutageUntilTheyCouldBeBack() {
+  void keepsEntriesThatExpiredInAnOutageUntilTheyCouldBeRestored() {
     directory.put(entry("back", false));
     directory.put(entry("gone", false));
     directory.outageEnded(now);
@@ -52,8 +53,8 @@
   }
 
   /**
-   * An endpoint that has left gets a request 2.2 s after its removal. It left just after an outage,
-   * and its removal was taken for one of the outage.
+   * Guards against a request that is sent to an endpoint 2.2 s after its removal. The endpoint left
+   * just after an outage, and its removal was taken for an effect of the outage.
    */
   @Test
   void neverKeepsARemovedEntryForTwoSeconds() {
@@ -65,11 +66,11 @@
   }
 
   /**
-   * Checks go to where an endpoint stood before it started again. An entry of its former life was
-   * written late, and counted as the newest.
+   * Guards against requests that go to the former address of a restarted endpoint. A late entry of
+   * the former incarnation was taken for the newest one.
    */
   @Test
-  void passesOverALateEntryOfAFormerLife() {
+  void ignoresALateEntryOfAFormerIncarnation() {
     directory.put(started(2));
     directory.put(started(1));
     assertEquals(2, directory.find("e1").orElseThrow().born());
@@ -78,9 +79,12 @@
     assertEquals(List.of("e1"), usable());
   }
 
-  /** As above, when the new life had left meanwhile: the reload of the list shows both again. */
+  /**
+   * Same as above when the new incarnation has left in the meantime: a reload of the list contains
+   * both entries again.
+   */
   @Test
-  void bringsNoFormerLifeBackAfterTheLastOneLeft() {
+  void restoresNoFormerIncarnationAfterTheLatestOneLeft() {
     directory.put(started(2));
     directory.remove("e1", now);
     directory.put(started(1));
@@ -89,11 +93,14 @@
     assertEquals(List.of("e1"), usable());
   }
 
-  /** What a former life left behind holds the new one back, or the new life loses its own. */
+  /**
+   * Guards against state of a former incarnation that restricts the new one, and against state of
+   * the new incarnation that is discarded.
+   */
   @Test
-  void tellsOnceOfEachNewLife() {
-    List<EndpointLife> begun = new ArrayList<>();
-    directory.onNewLife(begun::add);
+  void notifiesOnceOfEachNewIncarnation() {
+    List<EndpointLife> restarted = new ArrayList<>();
+    directory.onNewLife(restarted::add);
     directory.put(started(1));
     directory.put(started(1));
     directory.put(started(3));
@@ -101,11 +108,11 @@
     directory.replaceAll(List.of(started(3)), now);
     directory.remove("e1", now);
     directory.put(started(4));
-    assertEquals(List.of(new EndpointLife("e1", 3), new EndpointLife("e1", 4)), begun);
+    assertEquals(List.of(new EndpointLife("e1", 3), new EndpointLife("e1", 4)), restarted);
     assertTrue(directory.former(new EndpointLife("e1", 3)));
-    assertFalse(directory.unheard(new EndpointLife("e1", 4)));
-    assertTrue(directory.unheard(new EndpointLife("e1", 5)));
-    assertFalse(directory.unheard(new EndpointLife("e2", 5)));
+    assertFalse(directory.isNewerThanKnown(new EndpointLife("e1", 4)));
+    assertTrue(directory.isNewerThanKnown(new EndpointLife("e1", 5)));
+    assertFalse(directory.isNewerThanKnown(new EndpointLife("e2", 5)));
   }
 
   private static EndpointRecord started(long born) {
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/peer/FleetSlotClientTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/peer/FleetSlotClientTest.java
@@ -31,10 +31,10 @@
 
   FleetSlotClientTest() {
     names.forEach(name -> nodes.put(name, new Node(name)));
-    nodes.values().forEach(Node::meetAll);
+    nodes.values().forEach(Node::connectToAll);
   }
 
-  /** A gateway whose datagrams go to the others unless it is down. */
+  /** A gateway whose datagrams reach the other gateways unless it is down. */
   private final class Node implements PeerTransport {
 
     private final String name;
@@ -53,12 +53,12 @@
           new FleetSlotClient(fleet, this, directory, time.loop(), time, new SilentEventLog());
     }
 
-    private void meetAll() {
+    private void connectToAll() {
       names.forEach(other -> fleet.put(instance(other)));
     }
 
-    /** Takes that the endpoint has started again. */
-    private void starts(long born) {
+    /** Records in this gateway's directory that the endpoint has restarted. */
+    private void restartEndpoint(long born) {
       directory.put(new EndpointRecord(SERVICE, SERVICE, address(), "a", 1, false, born));
     }
 
@@ -103,8 +103,8 @@
   }
 
   /**
-   * Callers get no answer for seconds after a gateway was killed. It was the coordinator of their
-   * service, and the others kept asking it.
+   * Guards against callers that wait for seconds after the coordinator of their service was killed,
+   * because other gateways keep asking it.
    */
   @Test
   void asksTheNextInstanceWhenTheCoordinatorIsSilent() {
@@ -122,12 +122,12 @@
   }
 
   /**
-   * A caller is told that its request has not run, while an endpoint runs it. The first coordinator
-   * answered late that the request must wait; the second one had granted it long before, and the
-   * first one's silence after that was taken for a refusal.
+   * Guards against a caller that is told that its request has not run while an endpoint runs it.
+   * The first coordinator answered late that the request must wait, after the second coordinator
+   * had granted it. The first coordinator's silence after that answer was taken for a refusal.
    */
   @Test
-  void passesOverAnswersOfAFormerCoordinator() {
+  void ignoresAnswersOfAFormerCoordinator() {
     Node asker = nodes.get("a1");
     GatewayInstance first = asker.fleet.ranked(SERVICE, time.instant()).get(0);
     if (first.name().equals("a1")) {
@@ -149,7 +149,7 @@
     assertEquals(1, asker.answers.size(), asker.answers.toString());
   }
 
-  /** A caller of a gateway that reaches no other one is served by what that gateway knows alone. */
+  /** A gateway that reaches no other gateway must serve its callers with its local knowledge. */
   @Test
   void decidesAloneWhenNobodyAnswers() {
     Node alone = nodes.get("a1");
@@ -160,11 +160,11 @@
   }
 
   /**
-   * Two callers share a slot after the coordinator was killed. The next one did not know of the use
-   * that was granted before; its holder tells it within a second.
+   * Guards against a slot that is granted twice after the coordinator was killed. The successor
+   * does not know the earlier grant until the holder reports it, which happens within a second.
    */
   @Test
-  void tellsANewCoordinatorWhatIsInUse() {
+  void reportsItsUsesToANewCoordinator() {
     Node holder = nodes.get("a1");
     GatewayInstance coordinator = holder.fleet.ranked(SERVICE, time.instant()).get(0);
     if (coordinator.name().equals("a1")) {
@@ -175,7 +175,7 @@
     assertEquals(1, holder.answers.size());
     nodes.get(coordinator.name()).down = true;
     Node lost = holder;
-    nodes.values().forEach(node -> node.fleet.silent(coordinator.name(), time.instant()));
+    nodes.values().forEach(node -> node.fleet.recordSilence(coordinator.name(), time.instant()));
     time.advance(Duration.ofMillis(1_010));
     Node other =
         nodes.values().stream()
@@ -190,12 +190,11 @@
   }
 
   /**
-   * First events come late after a coordinator was killed, though slots are free elsewhere. The
-   * next one hands out slots that are in use, for as long as it takes until their holders renew
-   * them.
+   * Guards against slots that are granted twice until their holders renew them, after a coordinator
+   * was killed. First events then come late although slots are free elsewhere.
    */
   @Test
-  void tellsItsUsesWithTheFirstQuestionToANewCoordinator() {
+  void reportsItsUsesBeforeTheFirstRequestToANewCoordinator() {
     GatewayInstance coordinator = nodes.get("a1").fleet.ranked(SERVICE, time.instant()).get(0);
     Node holder = otherThan(coordinator.name());
     holder.ask();
@@ -204,16 +203,16 @@
     nodes.get(coordinator.name()).down = true;
     SlotRequest next = holder.ask();
     time.advance(Duration.ofMillis(60));
-    assertEquals(1, holder.answers.size(), "granted twice: " + holder.answers);
+    assertEquals(1, holder.answers.size(), "the slot was granted twice: " + holder.answers);
     holder.slots.release(next.key(), SlotOutcome.ABANDONED);
   }
 
   /**
-   * Letters stand still for two seconds after a coordinator was killed. Its successor has free
-   * slots, and the items go on waiting at the one that is gone.
+   * Guards against batch items that wait for two seconds after a coordinator was killed. The
+   * successor has free slots, but the items keep waiting at the former coordinator.
    */
   @Test
-  void asksANewCoordinatorForWhatWaitsAtTheFormerOne() {
+  void repeatsWaitingRequestsAtANewCoordinator() {
     GatewayInstance coordinator = nodes.get("a1").fleet.ranked(SERVICE, time.instant()).get(0);
     Node first = otherThan(coordinator.name());
     SlotRequest running = first.ask();
@@ -238,11 +237,11 @@
   }
 
   /**
-   * A request that crashes whoever runs it takes three endpoints more after the coordinator died.
-   * The next coordinator had not heard of the crashes.
+   * Guards against a request that crashes three more endpoints after the coordinator died, because
+   * the successor does not know of the earlier crashes.
    */
   @Test
-  void tellsAllWhichRequestCrashedThreeEndpoints() {
+  void announcesARequestThatCrashedThreeEndpointsToAll() {
     for (int crash = 0; crash < 3; crash++) {
       SlotRequest request = nodes.get("a1").ask(4_711);
       time.advance(Duration.ofMillis(20));
@@ -263,9 +262,10 @@
   }
 
   /**
-   * Callers of a gateway that stops wait longer, and then share slots that are in use. It had left
-   * the list of gateways at once and took requests for seconds more; the coordinator took its
-   * questions, found no address for its answers, and the gateway decided alone in the end.
+   * Guards against slots that are granted twice by a stopping gateway. The gateway left the
+   * instance list at once and accepted requests for some seconds more. The coordinator received its
+   * requests for slots but found no address for the answers. Callers waited longer, and in the end
+   * the gateway decided alone.
    */
   @Test
   void answersAGatewayThatHasLeftTheList() {
@@ -286,12 +286,12 @@
   }
 
   /**
-   * Callers of other gateways wait in vain though a slot is free. A gateway that stops had asked
-   * for it; the coordinator kept it for a question whose answer it could not send, and nobody gave
-   * it back.
+   * Guards against a slot that stays reserved for a stopping gateway. The coordinator granted the
+   * slot but could not send the answer, and nobody released the slot. Callers of other gateways
+   * waited although the slot was free.
    */
   @Test
-  void keepsNoSlotForAGatewayThatHasLeftTheList() {
+  void reservesNoSlotForAGatewayThatHasLeftTheList() {
     String first = nodes.get("a1").fleet.ranked(SERVICE, time.instant()).get(0).name();
     List<Node> askers = names.stream().filter(name -> !name.equals(first)).map(nodes::get).toList();
     Node stopping = askers.get(1);
@@ -307,13 +307,14 @@
   }
 
   /**
-   * A check waits for an endpoint that idles. Its list was behind: it sent the request to where the
-   * endpoint had stood in its former life, and the coordinator counted that against the new one.
+   * Guards against a request that waits although its endpoint is idle. The holder's list was
+   * outdated, so the holder sent an earlier request to the address of the endpoint's former
+   * incarnation, and the coordinator counted that failure against the new incarnation.
    */
   @Test
-  void countsNothingAgainstALifeThatTheHolderDoesNotKnow() {
+  void countsNoFailureAgainstAnIncarnationUnknownToTheHolder() {
     Node holder = holder();
-    nodes.values().stream().filter(node -> node != holder).forEach(node -> node.starts(2));
+    nodes.values().stream().filter(node -> node != holder).forEach(node -> node.restartEndpoint(2));
     for (SlotOutcome outcome : List.of(SlotOutcome.REPLACED, SlotOutcome.UNREACHED)) {
       SlotRequest request = holder.ask();
       time.advance(Duration.ofMillis(5));
@@ -326,18 +327,19 @@
   }
 
   /**
-   * Two callers share a slot. Their gateway knew of the new life before the coordinator, which
-   * forgot the use of one of them when it heard of that life.
+   * Guards against a slot that is granted twice. The holder knew the endpoint's new incarnation
+   * before the coordinator did, and the coordinator dropped the use when it learned of that
+   * incarnation.
    */
   @Test
-  void tellsTheLifeThatAUseIsOf() {
+  void reportsTheIncarnationOfAUse() {
     Node holder = holder();
-    holder.starts(2);
+    holder.restartEndpoint(2);
     SlotRequest request = holder.ask();
     time.advance(Duration.ofMillis(5));
     assertEquals(List.of(granted(request, 2)), holder.answers);
     time.advance(Duration.ofMillis(1_005));
-    nodes.values().stream().filter(node -> node != holder).forEach(node -> node.starts(2));
+    nodes.values().stream().filter(node -> node != holder).forEach(node -> node.restartEndpoint(2));
     holder.ask();
     time.advance(Duration.ofMillis(5));
     assertEquals(1, holder.answers.size());
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/peer/FleetViewTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/peer/FleetViewTest.java
@@ -22,7 +22,7 @@
   }
 
   @Test
-  void ranksAlikeAtEachInstance() {
+  void ranksIdenticallyAtEachInstance() {
     FleetView other = new FleetView(instance("c1", "c"));
     for (String name : List.of("b3", "a2", "b1", "a1", "b2")) {
       other.put(instance(name, name.substring(0, 1)));
@@ -32,48 +32,48 @@
   }
 
   @Test
-  void passesOverASilentInstanceForAWhile() {
-    fleet.silent("c1", now);
+  void excludesAnUnresponsiveInstanceTemporarily() {
+    fleet.recordSilence("c1", now);
     assertTrue(!names(fleet, now).contains("c1"));
     assertTrue(names(fleet, now.plusSeconds(2)).contains("c1"));
   }
 
   /**
-   * Callers of a data centre that is cut off wait 50 ms for each process on the other side. Two
-   * silent ones show that the third will be silent too.
+   * Guards against callers that wait 50 ms for each process of an unreachable data centre. Two
+   * unresponsive processes are enough to exclude the third.
    */
   @Test
-  void passesOverADataCentreOnceTwoOfItAreSilent() {
-    fleet.silent("b1", now);
+  void excludesADataCentreOnceTwoOfItsInstancesAreUnresponsive() {
+    fleet.recordSilence("b1", now);
     assertTrue(names(fleet, now).contains("b3"));
-    fleet.silent("b2", now);
+    fleet.recordSilence("b2", now);
     assertEquals(List.of("a1", "a2", "c1"), names(fleet, now).stream().sorted().toList());
-    fleet.heard("b2");
+    fleet.recordContact("b2");
     assertEquals(6, names(fleet, now).size());
   }
 
   @Test
-  void neverPassesOverItsOwnDataCentreAsAWhole() {
+  void neverExcludesItsOwnDataCentreAsAWhole() {
     FleetView alone = new FleetView(instance("a1", "a"));
     List.of("a2", "a3", "a4").forEach(name -> alone.put(instance(name, "a")));
-    alone.silent("a2", now);
-    alone.silent("a3", now);
+    alone.recordSilence("a2", now);
+    alone.recordSilence("a3", now);
     assertEquals(List.of("a1", "a4"), names(alone, now).stream().sorted().toList());
   }
 
   @Test
-  void trustsANewStart() {
-    fleet.silent("c1", now);
+  void trustsARestartedInstance() {
+    fleet.recordSilence("c1", now);
     fleet.put(new GatewayInstance("c1", "c1~next", new InetSocketAddress("127.0.0.1", 1), "c"));
     assertTrue(names(fleet, now).contains("c1"));
   }
 
   /**
-   * Each request of a large fleet costs its gateway more than a small one's: the order of all
-   * processes was worked out anew for each question to a coordinator.
+   * Guards against computing the order of all processes anew for each request for a slot, which
+   * makes each request more expensive in a large fleet than in a small one.
    */
   @Test
-  void worksAnOrderOutOnceForEachList() {
+  void computesAnOrderOncePerList() {
     assertSame(fleet.ranked("key", now), fleet.ranked("key", now));
     fleet.remove("c1");
     assertTrue(!names(fleet, now).contains("c1"));
@@ -89,8 +89,9 @@
   }
 
   /**
-   * Callers of a whole fleet get late answers on a crest: the coordinator of their service runs on
-   * one of the smallest instances, which needs all its processor time for requests of its own.
+   * Guards against late responses across the whole fleet at peak load, when the coordinator of a
+   * service runs on one of the smallest instances and that instance needs all its processor time
+   * for its own requests.
    */
   @Test
   void ranksLargeInstancesFirst() {
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/peer/ForeignDatagramPropertyTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/peer/ForeignDatagramPropertyTest.java
@@ -12,8 +12,9 @@
 import net.jqwik.api.Property;
 
 /**
- * A coordinator ends requests of all gateways: a datagram of a stranger held a time that is beyond
- * every clock, or an outcome that there is none of, and the exception came up far from the reader.
+ * Guards against a foreign datagram that fails requests of all gateways. A duration out of range or
+ * an unknown outcome was decoded without an error, and caused an exception later in the
+ * coordinator.
  */
 class ForeignDatagramPropertyTest {
 
@@ -21,7 +22,7 @@
   private static final Duration DAY = Duration.ofDays(1);
 
   @Property(tries = 3_000, seed = ForeignBytes.SEED)
-  void aDatagramIsAMessageOrUnreadable(@ForAll long seed) {
+  void decodesADatagramOrReportsItUnreadable(@ForAll long seed) {
     Random random = new Random(seed);
     List<PeerMessage> messages = PeerCodecTest.messages();
     PeerMessage message = messages.get(random.nextInt(messages.size()));
@@ -33,7 +34,7 @@
 
   private static void check(PeerMessage message) {
     if (message instanceof PeerMessage.Ask ask) {
-      assertTrue(sound(ask.request().maxWait()) && sound(ask.request().patience()));
+      assertTrue(inRange(ask.request().maxWait()) && inRange(ask.request().patience()));
       NOW.plus(ask.request().maxWait());
     } else if (message instanceof PeerMessage.Told told) {
       assertTrue(told.load().running() >= 0 && told.load().waiting() >= 0);
@@ -41,14 +42,14 @@
       assertTrue(held.partition() >= 0 && held.epoch() >= 0);
     } else if (message instanceof PeerMessage.Answer answer) {
       if (answer.answer() instanceof SlotAnswer.Waiting waiting) {
-        assertTrue(sound(waiting.atMost()));
+        assertTrue(inRange(waiting.atMost()));
       } else if (answer.answer() instanceof SlotAnswer.Refused refused) {
-        assertTrue(sound(refused.retryAfter()));
+        assertTrue(inRange(refused.retryAfter()));
       }
     }
   }
 
-  private static boolean sound(Duration time) {
+  private static boolean inRange(Duration time) {
     return !time.isNegative() && time.compareTo(DAY) < 0;
   }
 }
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/peer/PeerCodecTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/peer/PeerCodecTest.java
@@ -56,7 +56,7 @@
 
   @ParameterizedTest
   @MethodSource("messages")
-  void readsWhatItWrote(PeerMessage message) {
+  void decodesWhatItEncoded(PeerMessage message) {
     PeerCodec.Envelope envelope = new PeerCodec.Envelope("a1", message);
     assertEquals(envelope, PeerCodec.decode(PeerCodec.encode(envelope)));
   }
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/peer/UdpPeerTransportTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/peer/UdpPeerTransportTest.java
@@ -33,11 +33,11 @@
   }
 
   /**
-   * The log of a gateway fills within a minute, and what its operators look for is dropped: a
-   * stranger sends thousands of datagrams, and each of them was told. Messages of peers still come.
+   * Guards against a log that overflows within a minute and drops relevant events, because each of
+   * thousands of foreign datagrams is logged. Messages of peers must still be received.
    */
   @Test
-  void tellsAStrangerOnceAndHearsItsPeers() throws IOException {
+  void logsForeignDatagramsOnceAndReceivesPeerMessages() throws IOException {
     InetAddress loopback = InetAddress.getLoopbackAddress();
     InetSocketAddress at;
     try (DatagramSocket free = new DatagramSocket(0, loopback)) {
@@ -49,19 +49,19 @@
     byte[] foreign = "GET / HTTP/1.1".getBytes(StandardCharsets.US_ASCII);
     PeerCodec.Envelope ours = new PeerCodec.Envelope("a2", new PeerMessage.Held(1, 2));
     byte[] good = PeerCodec.encode(ours);
-    try (DatagramSocket stranger = new DatagramSocket(0, loopback)) {
+    try (DatagramSocket foreignSender = new DatagramSocket(0, loopback)) {
       for (int i = 0; i < 100; i++) {
-        stranger.send(new DatagramPacket(foreign, foreign.length, at));
+        foreignSender.send(new DatagramPacket(foreign, foreign.length, at));
       }
       await()
           .until(
               () -> {
-                stranger.send(new DatagramPacket(good, good.length, at));
+                foreignSender.send(new DatagramPacket(good, good.length, at));
                 return received.contains(ours);
               });
     }
-    long told = log.events().stream().filter("peer.datagram.foreign"::equals).count();
-    assertTrue(told >= 1);
-    assertEquals(1, told);
+    long reports = log.events().stream().filter("peer.datagram.foreign"::equals).count();
+    assertTrue(reports >= 1);
+    assertEquals(1, reports);
   }
 }
