--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/front/Forwarding.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/front/Forwarding.java
@@ -102,7 +102,7 @@
   @Override
   public void drained() {
     if (call != null) {
-      call.reading(true);
+      call.setReading(true);
     }
   }
 
@@ -118,7 +118,7 @@
   /** Is told by the relay that the caller reads slowly. */
   void pause() {
     if (call != null) {
-      call.reading(false);
+      call.setReading(false);
     }
   }
 
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/http/HttpCall.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/http/HttpCall.java
@@ -5,14 +5,14 @@
 import java.util.Map;
 
 /**
- * A call with a small body.
+ * An HTTP call with a small body.
  *
- * @param address whom to call
- * @param method method of the call
+ * @param address address of the server
+ * @param method HTTP method
  * @param path path and query
- * @param headers headers beside those that every call has
+ * @param headers headers in addition to those of every call
  * @param body body; may be empty
- * @param timeout time from now within which the whole reply must be there
+ * @param timeout time from now within which the complete reply must arrive
  */
 public record HttpCall(
     InetSocketAddress address,
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/http/HttpCallException.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/http/HttpCallException.java
@@ -1,6 +1,9 @@
 package io.hawthornlb.gateway.http;
 
-/** A call that got no whole reply; it may have been carried out unless {@link #unsent()}. */
+/**
+ * A call that got no complete reply. The server may have processed the call unless {@link
+ * #unsent()}.
+ */
 public final class HttpCallException extends RuntimeException {
 
   private static final long serialVersionUID = 1L;
@@ -8,7 +11,11 @@
   private final boolean unsent;
   private final boolean cut;
 
-  /** Creates an exception; {@code unsent} says that no byte of the call left this process. */
+  /**
+   * Creates an exception.
+   *
+   * @param unsent whether no byte of the call left this process
+   */
   public HttpCallException(String message, boolean unsent) {
     this(message, unsent, false);
   }
@@ -19,17 +26,19 @@
     this.cut = cut;
   }
 
-  /** Creates an exception of a call that was sent and whose connection closed without a reply. */
+  /** Creates an exception for a call that was sent and whose connection closed without a reply. */
   public static HttpCallException connectionClosed(String message) {
     return new HttpCallException(message, false, true);
   }
 
-  /** Returns whether the call certainly was not carried out. */
+  /** Returns whether the call was certainly not processed. */
   public boolean unsent() {
     return unsent;
   }
 
-  /** Returns whether the connection closed behind the call, which says nothing of a new one. */
+  /**
+   * Returns whether the connection closed after the call was sent; a new connection may still work.
+   */
   public boolean cut() {
     return cut;
   }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/http/HttpCaller.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/http/HttpCaller.java
@@ -2,9 +2,11 @@
 
 import java.util.concurrent.CompletionStage;
 
-/** Makes HTTP calls without blocking. */
+/** Performs HTTP calls without blocking. */
 public interface HttpCaller {
 
-  /** Makes a call; the stage fails with {@link HttpCallException} when there is no whole reply. */
+  /**
+   * Performs a call; the stage fails with {@link HttpCallException} when no complete reply arrives.
+   */
   CompletionStage<HttpReply> call(HttpCall call);
 }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/http/HttpReply.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/http/HttpReply.java
@@ -4,24 +4,24 @@
 import java.util.Set;
 
 /**
- * A whole reply.
+ * A complete HTTP reply.
  *
  * @param status status code
- * @param headers headers that matter to whoever asked; empty for replies of the store
+ * @param headers headers that are relevant to the caller; empty for replies of the store
  * @param body body; may be empty
- * @param attempts how the call was tried, for whoever logs it; empty if nobody said
+ * @param attempts description of the attempts of the call, for logs; empty if unknown
  */
 public record HttpReply(int status, Map<String, String> headers, byte[] body, String attempts) {
 
-  /** Statuses that promise that nothing was done; any other one leaves it open. */
+  /** Statuses that guarantee that the server did nothing; any other status does not. */
   private static final Set<Integer> REFUSALS = Set.of(429, 503);
 
-  /** Copies the headers. */
+  /** Creates a reply and copies the headers. */
   public HttpReply {
     headers = Map.copyOf(headers);
   }
 
-  /** Creates a reply of which nobody says how the call was tried. */
+  /** Creates a reply without a description of the attempts. */
   public HttpReply(int status, Map<String, String> headers, byte[] body) {
     this(status, headers, body, "");
   }
@@ -31,13 +31,13 @@
     this(status, Map.of(), body);
   }
 
-  /** Returns whether whoever was called promises that it did nothing. */
+  /** Returns whether the server guarantees that it did nothing. */
   public boolean refused() {
     return REFUSALS.contains(status);
   }
 
-  /** Returns the same reply with how the call was tried. */
-  public HttpReply withAttempts(String tried) {
-    return new HttpReply(status, headers, body, tried);
+  /** Returns a copy of this reply with a description of the attempts. */
+  public HttpReply withAttempts(String description) {
+    return new HttpReply(status, headers, body, description);
   }
 }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/http/NettyHttpCaller.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/http/NettyHttpCaller.java
@@ -34,25 +34,25 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Calls over kept connections, all on one event loop.
+ * HTTP client with pooled connections on one event loop.
  *
- * <p>Failure: an open connection goes silent for good while new ones work. It shows as calls that
- * time out one after the other. Guard: a connection on which a call timed out is closed, and so are
- * all idle ones to that address, since they have likely gone silent with it.
+ * <p>A connection may go silent permanently while new connections work, and calls on it would time
+ * out one after the other. When a call times out, the caller closes its connection and all idle
+ * connections to the same address, because they are likely silent as well.
  */
 public final class NettyHttpCaller implements HttpCaller {
 
-  /** Bytes of the longest reply; pages of the log are at most 1 MiB, in base64 1.4 MiB. */
+  /** Size limit of a reply in bytes; pages of the log are at most 1 MiB, in base64 1.4 MiB. */
   private static final int MAX_REPLY_BYTES = 8 * 1024 * 1024;
 
-  /** Time to open a connection; an instance without power does not answer at all. */
+  /** Timeout for opening a connection; an instance without power does not answer at all. */
   private static final int CONNECT_MILLIS = 1_000;
 
   private final EventLoop loop;
   private final Bootstrap bootstrap;
   private final Map<InetSocketAddress, Deque<Channel>> idle = new HashMap<>();
 
-  /** Creates a caller on an event loop. */
+  /** Creates a caller that does all its work on the event loop. */
   public NettyHttpCaller(EventLoop loop) {
     this.loop = loop;
     this.bootstrap =
@@ -93,14 +93,14 @@
     }
   }
 
-  /** A call on its way. */
+  /** A call that is in progress. */
   private final class Pending {
 
     private final HttpCall call;
     private final CompletableFuture<HttpReply> result = new CompletableFuture<>();
     private @Nullable ScheduledFuture<?> timer;
     private @Nullable Channel channel;
-    private @Nullable ChannelFuture left;
+    private @Nullable ChannelFuture writeFuture;
     private boolean written;
 
     private Pending(HttpCall call) {
@@ -108,10 +108,10 @@
     }
 
     private void start() {
-      timer = loop.schedule(this::timedOut, call.timeout().toMillis(), TimeUnit.MILLISECONDS);
-      Channel kept = takeIdle(call.address());
-      if (kept != null) {
-        write(kept);
+      timer = loop.schedule(this::onTimeout, call.timeout().toMillis(), TimeUnit.MILLISECONDS);
+      Channel idleChannel = takeIdle(call.address());
+      if (idleChannel != null) {
+        write(idleChannel);
         return;
       }
       bootstrap
@@ -120,7 +120,7 @@
               (io.netty.channel.ChannelFutureListener)
                   connected -> {
                     if (!connected.isSuccess()) {
-                      fail("No connection to " + call.address() + ": " + connected.cause());
+                      fail("no connection to " + call.address() + ": " + connected.cause());
                     } else if (result.isDone()) {
                       connected.channel().close();
                     } else {
@@ -144,12 +144,12 @@
       call.headers().forEach(request.headers()::set);
       HttpUtil.setContentLength(request, call.body().length);
       written = true;
-      left = to.writeAndFlush(request);
+      writeFuture = to.writeAndFlush(request);
     }
 
-    private void timedOut() {
+    private void onTimeout() {
       closeIdle(call.address());
-      fail("No reply from " + call.address() + " within " + call.timeout());
+      fail("no reply from " + call.address() + " within " + call.timeout());
       if (channel != null) {
         channel.close();
       }
@@ -160,16 +160,16 @@
       result.completeExceptionally(new HttpCallException(message, !written));
     }
 
-    private void cut(String message) {
+    private void failClosed(String message) {
       stopTimer();
       result.completeExceptionally(HttpCallException.connectionClosed(message));
     }
 
-    private void replied(HttpReply reply, boolean reusable) {
+    private void onReply(HttpReply reply, boolean reusable) {
       stopTimer();
       Channel used = channel;
-      boolean whollyLeft = left != null && left.isSuccess();
-      if (used != null && reusable && whollyLeft) {
+      boolean fullyWritten = writeFuture != null && writeFuture.isSuccess();
+      if (used != null && reusable && fullyWritten) {
         idle.computeIfAbsent(call.address(), any -> new ArrayDeque<>()).push(used);
       } else if (used != null) {
         used.close();
@@ -185,12 +185,13 @@
   }
 
   /**
-   * Hands replies to the call that waits on a connection.
+   * Passes replies to the call that waits on a connection.
    *
-   * <p>Failure: a second answer comes behind the one to a call, and whoever made that call makes
-   * the next one at once. It shows as an append that counts as written or refused by the answer to
-   * another call. Guard: an answer is handed on once all that came with it was looked at, and a
-   * connection that brought more than one answer to a call is not used again.
+   * <p>A server may send a second reply directly after the reply to a call, while the caller
+   * already sends its next call. An append would then count as written or refused because of the
+   * reply to another call. The handler therefore completes a call only after all data received
+   * together has been processed, and does not reuse a connection that received more than one reply
+   * to a call.
    */
   private static final class ReplyHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
 
@@ -211,9 +212,9 @@
       } else if (!response.decoderResult().isSuccess()) {
         pending = null;
         ctx.close();
-        waiting.fail("The reply is not HTTP");
+        waiting.fail("the reply is not HTTP");
       } else if (!interim) {
-        // An interim one only announces the answer.
+        // An interim reply only announces the final one.
         reply = new HttpReply(response.status().code(), ByteBufUtil.getBytes(response.content()));
         reusable = HttpUtil.isKeepAlive(response);
       }
@@ -226,7 +227,7 @@
       if (answered != null && whole != null) {
         pending = null;
         reply = null;
-        answered.replied(whole, reusable);
+        answered.onReply(whole, reusable);
       }
       ctx.fireChannelReadComplete();
     }
@@ -236,20 +237,20 @@
       Pending waiting = pending;
       pending = null;
       if (waiting != null) {
-        waiting.cut("The connection closed before a whole reply" + cause);
+        waiting.failClosed("the connection closed before a complete reply" + cause);
       }
       ctx.fireChannelInactive();
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable failure) {
-      // The call fails by channelInactive, which follows and tells the cause.
+      // channelInactive follows and fails the call with this cause.
       cause = ": " + failure;
       ctx.close();
     }
   }
 
-  /** Sets up a connection. */
+  /** Sets up the channel pipeline of a connection. */
   private static final class Pipeline extends ChannelInitializer<Channel> {
 
     @Override
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/http/package-info.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/http/package-info.java
@@ -1,4 +1,4 @@
-/** Plain HTTP calls from this instance, over kept connections. */
+/** Plain HTTP calls from this instance, over pooled connections. */
 @NullMarked
 package io.hawthornlb.gateway.http;
 
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/process/GatewayProcess.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/process/GatewayProcess.java
@@ -95,7 +95,7 @@
     FleetSlotClient slots = new FleetSlotClient(fleet, transport, directory, loop, clock, log);
     EndpointPool pool = new EndpointPool(loop, names, clock, metrics);
     directory.onRemoval(endpoint -> pool.forget(endpoint.life()));
-    directory.onNewLife(pool::begun);
+    directory.onNewLife(pool::onRestart);
     endpoints = new EndpointSource(formats, directory, loop, clock, log);
     instances = new InstanceSource(fleet, store, loop, clock, log);
     jobs =
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/wire/ConnectionCounts.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/wire/ConnectionCounts.java
@@ -6,7 +6,10 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Counts connections to endpoints: how many are opened, and what became of those before. */
+/**
+ * Counts connections to endpoints, by the reason why a new one was opened and why older ones were
+ * closed.
+ */
 final class ConnectionCounts {
 
   private static final String REQUESTS = "connections.requests";
@@ -20,13 +23,16 @@
     this.metrics = metrics;
   }
 
-  /** Counts a request on a kept connection. */
+  /** Counts a request that reuses an idle connection. */
   void reused(EndpointLife endpoint) {
     metrics.count(REQUESTS, "kept");
     use(endpoint).open++;
   }
 
-  /** Counts a request that needs a new connection, by what keeps it from an older one. */
+  /**
+   * Counts a request that needs a new connection, by the reason why no older connection could be
+   * reused.
+   */
   void opened(EndpointLife endpoint) {
     metrics.count(REQUESTS, "opened");
     Use use = use(endpoint);
@@ -34,29 +40,32 @@
     use.open++;
   }
 
-  /** Takes that a request has ended and its connection rests. */
-  void kept(EndpointLife endpoint) {
+  /** Records that a request has ended and its connection is idle now. */
+  void onIdle(EndpointLife endpoint) {
     known(endpoint).ifPresent(use -> use.open--);
   }
 
-  /** Counts the end of a connection that carried a request until now. */
+  /** Counts the close of a connection that was in use. */
   void closed(EndpointLife endpoint, ConnectionEnd end) {
     known(endpoint).ifPresent(use -> use.open--);
-    closedAtRest(endpoint, end);
+    closedIdle(endpoint, end);
   }
 
-  /** Counts the end of a connection that rested. */
-  void closedAtRest(EndpointLife endpoint, ConnectionEnd end) {
+  /** Counts the close of an idle connection. */
+  void closedIdle(EndpointLife endpoint, ConnectionEnd end) {
     metrics.count(CLOSED, end.label());
     known(endpoint).ifPresent(use -> use.lastEnd = end.label());
   }
 
-  /** Forgets an endpoint that is gone. */
+  /** Removes the counts of an endpoint that has left. */
   void forget(EndpointLife endpoint) {
     uses.remove(endpoint);
   }
 
-  /** Returns the use of an endpoint; connections outlast one that was forgotten. */
+  /**
+   * Returns the counts of an endpoint; empty if they were removed while connections were still
+   * open.
+   */
   private Optional<Use> known(EndpointLife endpoint) {
     return Optional.ofNullable(uses.get(endpoint));
   }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/wire/ConnectionEnd.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/wire/ConnectionEnd.java
@@ -4,21 +4,21 @@
 
 /** Why a connection to an endpoint was closed. */
 enum ConnectionEnd {
-  /** It rested as long as the endpoint allows. */
+  /** The connection was idle for as long as the endpoint allows. */
   RESTED,
-  /** It had rested longer than the endpoint was found to keep it. */
+  /** The connection was idle for longer than the endpoint was observed to keep connections. */
   FORGOTTEN,
-  /** The endpoint closed it while it rested. */
+  /** The endpoint closed the idle connection. */
   CLOSED_BY_ENDPOINT,
-  /** The endpoint announced the close with its answer. */
+  /** The endpoint announced the close in its response. */
   ANNOUNCED,
-  /** The request on it was given up. */
+  /** The request on the connection was aborted. */
   ABORTED,
-  /** It broke, or brought what was no answer. */
+  /** The connection failed, or received bytes that are no valid response. */
   BROKEN,
-  /** The endpoint has left or has started again. */
+  /** The endpoint has left or has restarted. */
   ENDPOINT_GONE,
-  /** No connection came about. */
+  /** The connection could not be opened. */
   NOT_OPENED;
 
   private final String label;
@@ -27,7 +27,7 @@
     label = name().toLowerCase(Locale.ROOT).replace('_', ' ');
   }
 
-  /** Returns the label of its counter. */
+  /** Returns the metric label of this reason. */
   String label() {
     return label;
   }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/wire/EndpointCall.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/wire/EndpointCall.java
@@ -1,11 +1,11 @@
 package io.hawthornlb.gateway.wire;
 
-/** A request at an endpoint. */
+/** A request that was sent to an endpoint. */
 public interface EndpointCall {
 
-  /** Ends it at once and closes the connection, so that the endpoint stops its work. */
+  /** Aborts the request and closes the connection, so that the endpoint stops working on it. */
   void abort();
 
-  /** Stops or goes on reading the answer. */
-  void reading(boolean on);
+  /** Suspends or resumes reading the response. */
+  void setReading(boolean on);
 }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/wire/EndpointCallListener.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/wire/EndpointCallListener.java
@@ -4,23 +4,23 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.handler.codec.http.HttpResponse;
 
-/** Receives the answer to a request at an endpoint. */
+/** Receives an endpoint's response to a request. */
 public interface EndpointCallListener {
 
-  /** Returns the kind of work that the answer is. */
+  /** Returns the kind of work to which processing the response is accounted. */
   WorkKind work();
 
-  /** Takes status and headers. */
+  /** Called with the status and headers. */
   void onResponse(HttpResponse response);
 
-  /** Takes part of the body; it is released after the call. */
+  /** Called with a part of the body; the buffer is released after the call. */
   void onContent(ByteBuf content);
 
-  /** Is told that the answer is whole. */
+  /** Called when the response is complete. */
   void onEnd();
 
   /**
-   * Is told that no whole answer will come.
+   * Called when no complete response will arrive.
    *
    * @param sent whether the endpoint may have received the request
    */
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/wire/EndpointHandler.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/wire/EndpointHandler.java
@@ -21,39 +21,46 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Hands answers of an endpoint to the request that waits on a connection.
+ * Passes responses of an endpoint to the request that waits on a connection.
  *
- * <p>Failure: an endpoint sends a second answer, or one that is late for a request before. It shows
- * as an answer with another id, or as bytes on a connection where nothing waits. Guard: answers
- * with another id are passed over, and a connection that brought anything unasked is not used
- * again.
+ * <p>An endpoint may send a second response, or a late response to an earlier request. Such a
+ * response carries another request id, or arrives while no request waits on the connection. The
+ * handler ignores a response with another id, and does not reuse a connection that received
+ * unexpected data.
  */
 final class EndpointHandler extends SimpleChannelInboundHandler<HttpObject> {
 
-  /** Time that a connection is kept when the endpoint names none; shorter than a second is rare. */
+  /**
+   * Time that a connection is kept idle when the endpoint names no timeout; endpoints rarely use
+   * less than one second.
+   */
   private static final Duration DEFAULT_IDLE = Duration.ofMillis(900);
 
   /**
-   * Taken off the time that an endpoint names, so that it does not close while a request leaves.
+   * Margin subtracted from the timeout that the endpoint names, so that the endpoint does not close
+   * the connection while a request is being sent.
    */
   private static final Duration IDLE_MARGIN = Duration.ofMillis(500);
 
-  /** Up to nine digits: a longer time would overflow, and the answer it came with be reset. */
+  /**
+   * Up to nine digits. A longer number would overflow, and the response that contains it would be
+   * aborted.
+   */
   private static final Pattern KEEP_ALIVE_TIMEOUT = Pattern.compile("timeout=(\\d{1,9})");
 
   private final ConnectionCounts counts;
   private @Nullable PooledCall call;
-  private @Nullable EndpointLife idleAt;
+  private @Nullable EndpointLife idleEndpoint;
   private @Nullable EndpointPool pool;
   private @Nullable ScheduledFuture<?> idleTimer;
-  private boolean skipping;
+  private boolean ignoring;
   private boolean inAnswer;
   private boolean answered;
   private boolean reusable = true;
   private boolean reset;
   private String cause = "";
-  private Duration restBefore = Duration.ZERO;
-  private long begunNanos;
+  private Duration idleBefore = Duration.ZERO;
+  private long startNanos;
   private Duration idleTime = DEFAULT_IDLE;
   private Instant opened = Instant.MAX;
   private @Nullable EndpointLife life;
@@ -67,17 +74,17 @@
     opened = when;
   }
 
-  /** Takes why the connection is being closed; the first reason counts. */
-  void endsBy(ConnectionEnd end) {
+  /** Records the reason why the connection is being closed; only the first reason counts. */
+  void recordEnd(ConnectionEnd end) {
     EndpointLife endpoint = life;
     life = null;
     if (endpoint == null) {
       return;
     }
-    if (idleAt == null) {
+    if (idleEndpoint == null) {
       counts.closed(endpoint, end);
     } else {
-      counts.closedAtRest(endpoint, end);
+      counts.closedIdle(endpoint, end);
     }
   }
 
@@ -86,18 +93,18 @@
   }
 
   void begin(PooledCall next) {
-    restBefore = rested();
-    begunNanos = next.pool().loop().ticker().nanoTime();
+    idleBefore = currentIdleTime();
+    startNanos = next.pool().loop().ticker().nanoTime();
     stopIdleTimer();
     call = next;
-    idleAt = null;
-    skipping = false;
+    idleEndpoint = null;
+    ignoring = false;
     inAnswer = false;
     answered = false;
   }
 
-  /** Returns how long the connection has rested by now; no time if it is in use or new. */
-  Duration rested() {
+  /** Returns how long the connection has been idle; zero if it is new or in use. */
+  Duration currentIdleTime() {
     return idleTimer == null
         ? Duration.ZERO
         : idleTime.minusNanos(idleTimer.getDelay(TimeUnit.NANOSECONDS));
@@ -112,41 +119,41 @@
       reusable = false;
       ctx.close();
       if (current != null) {
-        current.failed("the answer is not HTTP");
+        current.failed("the response is not HTTP");
       }
       return;
     }
     if (message instanceof HttpResponse response) {
-      responded(response, current);
+      onResponse(response, current);
     }
     if (message instanceof HttpContent content && inAnswer) {
       if (content.content().isReadable()) {
         current.listener().onContent(content.content());
       }
       if (content instanceof LastHttpContent) {
-        // A connection that was reset may still deliver what looks like the end of an answer
-        // without a length; such an answer is not whole.
-        ended(ctx.channel(), current);
+        // After a reset the connection may still deliver what looks like the end of a response
+        // without a length. Such a response is not complete.
+        onResponseEnd(ctx.channel(), current);
       }
     } else if (message instanceof LastHttpContent) {
-      skipping = false;
+      ignoring = false;
     }
   }
 
-  private void responded(HttpResponse response, PooledCall current) {
+  private void onResponse(HttpResponse response, PooledCall current) {
     if (response.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
-      skipping = true;
+      ignoring = true;
       return;
     }
     if (!current.owns(response)) {
-      skipping = true;
+      ignoring = true;
       reusable = false;
       return;
     }
     inAnswer = true;
     answered = true;
     reusable &= HttpUtil.isKeepAlive(response) && hasLength(response);
-    noteIdleTime(response);
+    readKeepAliveTimeout(response);
     current.listener().onResponse(response);
   }
 
@@ -154,7 +161,7 @@
     return HttpUtil.isContentLengthSet(response) || HttpUtil.isTransferEncodingChunked(response);
   }
 
-  private void noteIdleTime(HttpResponse response) {
+  private void readKeepAliveTimeout(HttpResponse response) {
     String keepAlive = response.headers().get("Keep-Alive");
     if (keepAlive == null) {
       return;
@@ -165,16 +172,16 @@
     }
   }
 
-  private void ended(Channel channel, PooledCall current) {
+  private void onResponseEnd(Channel channel, PooledCall current) {
     inAnswer = false;
     call = null;
     if (reset) {
       current.failed("the connection was reset" + cause);
       return;
     }
-    boolean keep = reusable && !current.done() && current.whollyWritten() && channel.isActive();
+    boolean keep = reusable && !current.done() && current.isFullyWritten() && channel.isActive();
     if (keep) {
-      idleAt = current.endpoint();
+      idleEndpoint = current.endpoint();
       pool = current.pool();
       current.pool().keep(current.endpoint(), channel);
       startIdleTimer(channel);
@@ -187,17 +194,17 @@
   @Override
   public void channelInactive(ChannelHandlerContext ctx) {
     stopIdleTimer();
-    endsBy(idleAt == null ? ConnectionEnd.BROKEN : ConnectionEnd.CLOSED_BY_ENDPOINT);
+    recordEnd(idleEndpoint == null ? ConnectionEnd.BROKEN : ConnectionEnd.CLOSED_BY_ENDPOINT);
     PooledCall current = call;
     call = null;
-    if (idleAt != null && pool != null) {
-      pool.discard(idleAt, ctx.channel());
+    if (idleEndpoint != null && pool != null) {
+      pool.discard(idleEndpoint, ctx.channel());
     }
     if (current != null) {
       if (!answered && !current.done()) {
         EndpointPool at = current.pool();
-        Duration since = Duration.ofNanos(at.loop().ticker().nanoTime() - begunNanos);
-        at.rests().resetAfter(ctx.channel().remoteAddress(), restBefore, since);
+        Duration since = Duration.ofNanos(at.loop().ticker().nanoTime() - startNanos);
+        at.idleLimits().resetAfter(ctx.channel().remoteAddress(), idleBefore, since);
       }
       current.failed(reset ? "the connection was reset" + cause : "the connection closed");
     }
@@ -206,7 +213,7 @@
 
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable failure) {
-    // The request fails by channelInactive, which follows and tells the cause.
+    // channelInactive follows and fails the request with this cause.
     reset = true;
     cause = ": " + failure;
     ctx.close();
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/wire/EndpointPool.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/wire/EndpointPool.java
@@ -25,18 +25,22 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Sends requests to endpoints over kept connections, one request at a time on each.
+ * Sends requests to endpoints over pooled connections, with one request at a time on each.
  *
- * <p>Failure: an endpoint starts again under its id. It shows as connections that are reset when
- * they are used next, or stay silent under a request. Guard: connections belong to one life of an
- * endpoint; when the next one begins, kept ones are closed, and requests on older ones have failed.
+ * <p>When an endpoint restarts under the same id, older connections are reset at their next use or
+ * stay silent. Each pooled connection therefore belongs to one incarnation of an endpoint. When a
+ * new incarnation starts, the pool closes the idle connections to the former one and fails the
+ * requests on them.
  */
 public final class EndpointPool {
 
-  /** Time to open a connection; endpoints accept within 1 ms, a link adds 6 ms, a busy core 50. */
+  /**
+   * Timeout for opening a connection; endpoints accept within 1 ms, a network link adds 6 ms and a
+   * busy core 50 ms.
+   */
   private static final int CONNECT_MILLIS = 120;
 
-  private final RestLimits rests;
+  private final IdleLimits idleLimits;
   private final EventLoop loop;
   private final HeaderNames names;
   private final InstantSource clock;
@@ -45,10 +49,10 @@
   private final Set<PooledCall> running = new HashSet<>();
   private final Bootstrap bootstrap;
 
-  /** Creates a pool on an event loop. */
+  /** Creates a pool that does all its work on the event loop. */
   public EndpointPool(
       EventLoop loop, HeaderNames names, InstantSource clock, GatewayMetrics metrics) {
-    this.rests = new RestLimits(loop);
+    this.idleLimits = new IdleLimits(loop);
     this.loop = loop;
     this.clock = clock;
     this.names = names;
@@ -63,9 +67,9 @@
   }
 
   /**
-   * Sends a request; takes over the reference to it.
+   * Sends a request; takes ownership of its reference.
    *
-   * @param address where the endpoint takes requests
+   * @param address address at which the endpoint accepts requests
    */
   public EndpointCall send(
       EndpointLife endpoint,
@@ -73,10 +77,10 @@
       FullHttpRequest request,
       EndpointCallListener listener) {
     PooledCall call = new PooledCall(this, endpoint, request, listener);
-    Channel kept = takeIdle(endpoint);
-    if (kept != null) {
+    Channel idleChannel = takeIdle(endpoint);
+    if (idleChannel != null) {
       counts.reused(endpoint);
-      call.write(kept);
+      call.write(idleChannel);
       return call;
     }
     counts.opened(endpoint);
@@ -96,7 +100,7 @@
     return call;
   }
 
-  /** Closes the idle connections to an endpoint that is gone. */
+  /** Closes the idle connections to an endpoint that has left. */
   public void forget(EndpointLife endpoint) {
     Deque<Channel> channels = idle.remove(endpoint);
     if (channels != null) {
@@ -105,22 +109,27 @@
     counts.forget(endpoint);
   }
 
-  /** Gives up the connections to former lives of an endpoint that has started again. */
-  public void begun(EndpointLife endpoint) {
+  /**
+   * Closes the idle connections to former incarnations of a restarted endpoint, and fails the
+   * requests on other such connections.
+   */
+  public void onRestart(EndpointLife endpoint) {
     List.copyOf(idle.keySet()).stream().filter(endpoint::follows).forEach(this::forget);
-    // Later, so that whoever sends again finds the new life known everywhere.
-    loop.execute(() -> giveUpCalls(endpoint));
+    // Runs later, so that a listener that sends the request again finds the new incarnation known
+    // everywhere.
+    loop.execute(() -> failFormerCalls(endpoint));
   }
 
   /**
-   * Fails the requests that a former life took. The list tells of a start up to a second late; a
-   * connection that was opened after the start is one to the new life.
+   * Fails the requests that a former incarnation received. The list of endpoints shows a restart up
+   * to one second late, so a connection that was opened after the start belongs to the new
+   * incarnation.
    */
-  private void giveUpCalls(EndpointLife endpoint) {
+  private void failFormerCalls(EndpointLife endpoint) {
     Instant start = Instant.ofEpochMilli(endpoint.born());
     for (PooledCall call : List.copyOf(running)) {
       if (endpoint.follows(call.endpoint()) && call.openedBefore(start)) {
-        call.failed("the endpoint has started again");
+        call.failed("the endpoint has restarted");
         call.abort();
       }
     }
@@ -142,8 +151,8 @@
     return names;
   }
 
-  RestLimits rests() {
-    return rests;
+  IdleLimits idleLimits() {
+    return idleLimits;
   }
 
   EventLoop loop() {
@@ -151,7 +160,7 @@
   }
 
   void keep(EndpointLife endpoint, Channel channel) {
-    counts.kept(endpoint);
+    counts.onIdle(endpoint);
     idle.computeIfAbsent(endpoint, any -> new ArrayDeque<>()).push(channel);
   }
 
@@ -166,7 +175,7 @@
     Deque<Channel> channels = idle.get(endpoint);
     while (channels != null && !channels.isEmpty()) {
       Channel channel = channels.pop();
-      if (channel.isActive() && restedLittle(channel)) {
+      if (channel.isActive() && mayReuse(channel)) {
         return channel;
       }
       close(channel, ConnectionEnd.FORGOTTEN);
@@ -175,16 +184,16 @@
   }
 
   static void close(Channel channel, ConnectionEnd end) {
-    handler(channel).endsBy(end);
+    handler(channel).recordEnd(end);
     channel.close();
   }
 
-  private boolean restedLittle(Channel channel) {
-    Duration rest = handler(channel).rested();
-    return rests.allows(channel.remoteAddress(), rest);
+  private boolean mayReuse(Channel channel) {
+    Duration idleTime = handler(channel).currentIdleTime();
+    return idleLimits.allows(channel.remoteAddress(), idleTime);
   }
 
-  /** Sets up a connection. */
+  /** Sets up the channel pipeline of a connection. */
   private final class Pipeline extends ChannelInitializer<Channel> {
 
     @Override
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/wire/EventSplitter.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/wire/EventSplitter.java
@@ -8,11 +8,12 @@
 import java.util.List;
 
 /**
- * Cuts a stream into whole events.
+ * Splits a byte stream into complete server-sent events.
  *
- * <p>Failure: an endpoint stops in the middle of an event, and another one goes on after the last
- * whole event. Were the torn part passed on, the caller would read two events as one. Guard: bytes
- * are passed on event by event, and what is torn is dropped.
+ * <p>An endpoint may stop in the middle of an event, and another endpoint resumes after the last
+ * complete event. Forwarding the partial event would make the caller read two events as one. The
+ * splitter therefore returns complete events only, and the caller of the splitter discards a
+ * partial event.
  */
 public final class EventSplitter {
 
@@ -22,7 +23,7 @@
   private final ByteArrayOutputStream partial = new ByteArrayOutputStream(256);
   private boolean lineEmpty = true;
 
-  /** Takes bytes of the stream; returns the events that they complete. */
+  /** Consumes bytes of the stream and returns the events that they complete. */
   public List<StreamEvent> feed(ByteBuf content) {
     byte[] bytes = new byte[content.readableBytes()];
     content.readBytes(bytes);
@@ -54,12 +55,12 @@
     return new StreamEvent(id(whole), whole);
   }
 
-  /** Returns whether bytes of an event came whose end did not. */
+  /** Returns whether part of an event was received without its end. */
   public boolean torn() {
     return partial.size() > 0;
   }
 
-  /** Drops what is torn. */
+  /** Discards a partial event. */
   public void reset() {
     partial.reset();
     lineEmpty = true;
@@ -89,7 +90,10 @@
     data.append(text, from < end && text.charAt(from) == ' ' ? from + 1 : from, end);
   }
 
-  /** Returns the number in the first line that names one; done for each event, so by its bytes. */
+  /**
+   * Returns the number in the first id line. Runs for each event, and therefore works on the bytes
+   * directly.
+   */
   private static long id(byte[] bytes) {
     int from = 0;
     while (from < bytes.length) {
@@ -110,7 +114,8 @@
     try {
       return Long.parseLong(text);
     } catch (NumberFormatException e) {
-      // An id that is no number cannot be resumed after; the event itself is passed on.
+      // A stream cannot be resumed after an id that is not a number; the event itself is still
+      // forwarded.
       return -1;
     }
   }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/wire/LoadFormat.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/wire/LoadFormat.java
@@ -3,9 +3,9 @@
 import io.netty.handler.codec.http.HttpHeaders;
 import java.util.Optional;
 
-/** Reads the load that endpoints tell with their answers. */
+/** Reads the load that endpoints report in their responses. */
 public interface LoadFormat {
 
-  /** Returns the load that an answer's headers tell; empty if they tell none. */
+  /** Returns the load that the headers of a response report; empty if they report none. */
   Optional<ToldLoad> read(HttpHeaders headers);
 }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/wire/PooledCall.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/wire/PooledCall.java
@@ -8,7 +8,7 @@
 import java.time.Instant;
 import org.jspecify.annotations.Nullable;
 
-/** A request on a connection of the pool. */
+/** A request on a pooled connection. */
 final class PooledCall implements EndpointCall {
 
   private final EndpointPool pool;
@@ -67,7 +67,7 @@
   }
 
   @Override
-  public void reading(boolean on) {
+  public void setReading(boolean on) {
     if (channel != null) {
       channel.config().setAutoRead(on);
     }
@@ -81,7 +81,7 @@
     return endpoint;
   }
 
-  /** Returns whether the request went out on a connection that was opened before a moment. */
+  /** Returns whether the request was sent on a connection that was opened before a moment. */
   boolean openedBefore(Instant moment) {
     return channel != null && EndpointPool.handler(channel).openedAt().isBefore(moment);
   }
@@ -94,14 +94,16 @@
     return listener;
   }
 
-  /** Returns whether a response is the one to this request, by the id that endpoints echo. */
+  /** Returns whether a response belongs to this request, by the request id that endpoints echo. */
   boolean owns(HttpResponse response) {
     String echoed = response.headers().get(pool.names().requestId());
     return echoed == null || echoed.equals(requestId);
   }
 
-  /** Returns whether the whole request has left, so that the connection may be used again. */
-  boolean whollyWritten() {
+  /**
+   * Returns whether the complete request has been written, so that the connection may be reused.
+   */
+  boolean isFullyWritten() {
     return written != null && written.isSuccess();
   }
 
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/wire/SilenceWatch.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/wire/SilenceWatch.java
@@ -10,20 +10,23 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Watches for silence of the endpoint that works on a request.
+ * Detects that the endpoint working on a request has become silent.
  *
- * <p>Failure: an endpoint or the way to it goes dark while a request is there. It shows as silence
- * on an open connection, which nothing but the time tells. Guard: whoever waits is told once of a
- * suspicious silence, and then of one after which the endpoint is to be left.
+ * <p>An endpoint or the network path to it may fail while a request is running. The connection
+ * stays open, and only a timeout reveals the failure. The watch notifies its listener once of a
+ * suspicious silence, and later of a silence after which the endpoint should be abandoned.
  *
- * <p>Failure: this process itself stands still, for want of processor time or frozen. It shows as
- * silence of all endpoints at once, whose answers it has not read. Guard: the time by which a look
- * comes late does not count as silence.
+ * <p>This process itself may also be paused, for lack of processor time or because it is frozen.
+ * All endpoints then seem silent at once, because their responses were not read. The watch
+ * therefore does not count the delay of its own timer as silence.
  */
 public final class SilenceWatch {
 
-  /** Delay of a look that is a standstill; timers of a busy core are 10 to 50 ms late. */
-  private static final Duration STANDSTILL = Duration.ofMillis(100);
+  /**
+   * Timer delay from which this process counts as paused; timers of a busy core are 10 to 50 ms
+   * late.
+   */
+  private static final Duration PAUSE_THRESHOLD = Duration.ofMillis(100);
 
   private final ScheduledExecutorService executor;
   private final InstantSource clock;
@@ -32,31 +35,31 @@
   private final Listener listener;
   private @Nullable ScheduledFuture<?> timer;
   private Instant due = Instant.MAX;
-  private Instant heardBefore = Instant.MIN;
-  private Duration heldUp = Duration.ZERO;
+  private Instant previousHeard = Instant.MIN;
+  private Duration pauseTime = Duration.ZERO;
 
   /**
-   * Silences that are told.
+   * Durations of silence after which the listener is notified.
    *
-   * @param suspicious silence after which others should be placed elsewhere
-   * @param stalled silence after which the endpoint is to be left
+   * @param suspicious silence after which other requests should be placed elsewhere
+   * @param stalled silence after which the endpoint should be abandoned
    */
   public record Limits(Duration suspicious, Duration stalled) {}
 
-  /** Is told of silences. */
+  /** Receives notifications about a silent endpoint. */
   public interface Listener {
 
-    /** Takes that the endpoint has been silent for a suspicious time. */
+    /** Called when the endpoint has been silent for the suspicious time. */
     void suspicious(Duration silence);
 
-    /** Takes that the endpoint is to be left; returns whether to go on watching. */
+    /** Called when the endpoint should be abandoned; returns whether to keep watching. */
     boolean stalled(Duration silence);
   }
 
   /**
    * Creates a watch.
    *
-   * @param lastHeard when the endpoint was last heard, or asked
+   * @param lastHeard supplies when the endpoint last sent data, or when the request was sent to it
    */
   public SilenceWatch(
       ScheduledExecutorService executor,
@@ -71,7 +74,7 @@
     this.listener = listener;
   }
 
-  /** Watches from now on; one watch at a time. */
+  /** Starts watching; ends a watch that is running. */
   public void start() {
     stop();
     schedule(limits.suspicious());
@@ -86,38 +89,47 @@
     due = Instant.MAX;
   }
 
-  /** Returns for how long the endpoint has been silent while this process could hear it. */
+  /**
+   * Returns for how long the endpoint has been silent, without the time in which this process was
+   * paused.
+   */
   public Duration silence() {
     Instant now = clock.instant();
     Instant heard = lastHeard.get();
-    return Duration.between(heard, now).minus(notCounted(heard, now));
+    return Duration.between(heard, now).minus(pausedTime(heard, now));
   }
 
-  /** Returns the time since the endpoint was heard in which this process could not hear it. */
-  private Duration notCounted(Instant heard, Instant now) {
+  /**
+   * Returns the part of the time since the endpoint was last heard in which this process was
+   * paused.
+   */
+  private Duration pausedTime(Instant heard, Instant now) {
     Duration late = late(heard, now);
-    if (late.compareTo(STANDSTILL) > 0) {
-      // Nobody knows when the standstill began: the endpoint gets the whole time once more.
+    if (late.compareTo(PAUSE_THRESHOLD) > 0) {
+      // The start of the pause is unknown, so the endpoint gets the full time again.
       return Duration.between(heard, now);
     }
-    return heard.equals(heardBefore) ? heldUp.plus(late) : late;
+    return heard.equals(previousHeard) ? pauseTime.plus(late) : late;
   }
 
-  /** Returns by how much the next look is late, as far as nothing was heard meanwhile. */
+  /**
+   * Returns by how much the next check is late, counted from the last data received if that is
+   * later.
+   */
   private Duration late(Instant heard, Instant now) {
     Instant from = heard.isAfter(due) ? heard : due;
     return now.isAfter(from) ? Duration.between(from, now) : Duration.ZERO;
   }
 
-  /** Returns whether the endpoint has been silent for so long that it is to be left. */
+  /** Returns whether the endpoint has been silent for so long that it should be abandoned. */
   public boolean stalled() {
     return silence().compareTo(limits.stalled()) >= 0;
   }
 
-  private void look() {
+  private void check() {
     timer = null;
     Duration silence = silence();
-    noteDelay();
+    recordDelay();
     if (silence.compareTo(limits.stalled()) >= 0) {
       if (listener.stalled(silence)) {
         schedule(limits.stalled());
@@ -130,17 +142,17 @@
     }
   }
 
-  private void noteDelay() {
+  private void recordDelay() {
     Instant heard = lastHeard.get();
-    heldUp = notCounted(heard, clock.instant());
-    heardBefore = heard;
+    pauseTime = pausedTime(heard, clock.instant());
+    previousHeard = heard;
     due = Instant.MAX;
   }
 
   private void schedule(Duration time) {
-    // Rounded up: a look that comes too early would tell of the same silence twice.
+    // Rounded up, because a check that runs too early would report the same silence twice.
     long millis = Math.max(1, time.plusNanos(999_999).toMillis());
     due = clock.instant().plusMillis(millis);
-    timer = executor.schedule(this::look, millis, TimeUnit.MILLISECONDS);
+    timer = executor.schedule(this::check, millis, TimeUnit.MILLISECONDS);
   }
 }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/wire/StreamEvent.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/wire/StreamEvent.java
@@ -1,9 +1,9 @@
 package io.hawthornlb.gateway.wire;
 
 /**
- * A whole event of a stream.
+ * A complete event of a stream.
  *
  * @param id number of the event; -1 if it has none
- * @param bytes the event as it came, with the empty line at its end
+ * @param bytes the event as received, including the empty line at its end
  */
 public record StreamEvent(long id, byte[] bytes) {}
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/wire/ToldLoad.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/wire/ToldLoad.java
@@ -1,9 +1,9 @@
 package io.hawthornlb.gateway.wire;
 
 /**
- * Load that an endpoint told with an answer.
+ * Load that an endpoint reported in a response.
  *
- * @param running requests that run there
- * @param waiting requests that wait there
+ * @param running requests that are running at the endpoint
+ * @param waiting requests that are waiting at the endpoint
  */
 public record ToldLoad(int running, int waiting) {}
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/wire/package-info.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/wire/package-info.java
@@ -1,4 +1,4 @@
-/** Names that callers and endpoints use, and calls to endpoints. */
+/** Header names, pooled connections to endpoints and the calls on them. */
 @NullMarked
 package io.hawthornlb.gateway.wire;
 
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/http/NettyHttpCallerTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/http/NettyHttpCallerTest.java
@@ -27,13 +27,13 @@
 
   private static final int BACKLOG = 5;
 
-  /** Time in which an interim answer comes alone. */
+  /** Time between an interim reply and the final reply. */
   private static final int INTERIM_MILLIS = 50;
 
-  /** Time within which a call is made on another connection. */
+  /** Time within which the next call must open another connection. */
   private static final int ACCEPT_MILLIS = 2_000;
 
-  /** More than sockets take that nobody reads. */
+  /** Size of a body that exceeds the buffers of a socket that nobody reads, in bytes. */
   private static final int LARGE_BYTES = 32 * 1024 * 1024;
 
   private static final String DONE = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
@@ -52,19 +52,23 @@
     loop.shutdownGracefully(0, 1, TimeUnit.SECONDS);
   }
 
-  /** What is cut may be called again on a new connection; what stays silent has taken its time. */
+  /**
+   * A call whose connection closed may be repeated on a new connection; a call without a reply has
+   * used up its time.
+   */
   @Test
-  void tellsAClosedConnectionFromASilentOne() throws Exception {
+  void distinguishesAClosedConnectionFromASilentOne() throws Exception {
     assertEquals(true, failureOf(Duration.ofSeconds(10), true).cut());
     assertEquals(false, failureOf(Duration.ofMillis(100), false).cut());
   }
 
   /**
-   * A job that was written was refused: an answer that only announces the real one ended its call.
+   * Guards against an interim reply that ends a call: a job that had been stored was reported as
+   * refused.
    */
   @ParameterizedTest
   @ValueSource(ints = {100, 102, 103})
-  void waitsForTheAnswerBehindAnInterimOne(int status) throws Exception {
+  void waitsForTheFinalReplyAfterAnInterimOne(int status) throws Exception {
     CompletableFuture<HttpReply> reply = call(Duration.ofSeconds(10));
     try (Socket connection = server.accept()) {
       connection.getInputStream().read();
@@ -75,9 +79,12 @@
     }
   }
 
-  /** A job was taken and is lost: its call had the second answer to the call before it. */
+  /**
+   * Guards against a second reply to one call that is taken for the reply to the next call: a job
+   * was reported as accepted and was lost.
+   */
   @Test
-  void takesNoSecondAnswerForThatOfTheNextCall() throws Exception {
+  void doesNotTakeASecondReplyForThatOfTheNextCall() throws Exception {
     CompletableFuture<HttpReply> next =
         call(Duration.ofSeconds(10)).thenCompose(first -> call(Duration.ofSeconds(10)));
     try (Socket connection = server.accept()) {
@@ -92,9 +99,12 @@
     }
   }
 
-  /** A call waits in vain: it was sent behind the rest of a large one that was refused unread. */
+  /**
+   * Guards against a call that never gets a reply because it was sent on the connection of a large
+   * call that was refused unread and is still being written.
+   */
   @Test
-  void keepsNoConnectionOnWhichACallIsStillLeaving() throws Exception {
+  void reusesNoConnectionWhileACallIsBeingWritten() throws Exception {
     CompletableFuture<HttpReply> large = call(new byte[LARGE_BYTES], Duration.ofSeconds(10));
     try (Socket connection = server.accept()) {
       connection.getInputStream().read();
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/wire/ConnectionCountsTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/wire/ConnectionCountsTest.java
@@ -48,9 +48,9 @@
     loop.shutdownGracefully(0, 0, TimeUnit.SECONDS);
   }
 
-  /** Guards against counts that grow with each endpoint that was ever there. */
+  /** Guards against counts that accumulate for endpoints that have left. */
   @Test
-  void keepsNothingOfAnEndpointThatWasForgotten() {
+  void keepsNoCountsOfAnEndpointThatHasLeft() {
     ConnectionCounts counts = new ConnectionCounts(metrics);
     counts.opened(LIFE);
     counts.forget(LIFE);
@@ -59,9 +59,9 @@
     assertTrue(text.write().contains("connections_opened_total{by=\"first\"} 2"), text.write());
   }
 
-  /** Guards against new connections of which nobody can tell why none was kept. */
+  /** Guards against new connections whose reason cannot be found in the metrics. */
   @Test
-  void tellsWhyEachConnectionWasOpened() throws Exception {
+  void countsWhyEachConnectionWasOpened() throws Exception {
     try (ScriptedEndpoint endpoint = new ScriptedEndpoint()) {
       endpoint.then(OK, KEEP).then(LAST, CLOSE).then(OK, KEEP).then(OK, KEEP);
       call(endpoint);
@@ -103,7 +103,7 @@
         headers -> Optional.empty());
   }
 
-  /** Waits for the end of an answer. */
+  /** Completes a future when the response ends. */
   private record Ended(CompletableFuture<Void> done) implements EndpointCallListener {
 
     @Override
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/wire/EventSplitterTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/wire/EventSplitterTest.java
@@ -22,7 +22,7 @@
   private final EventSplitter splitter = new EventSplitter();
 
   @Property
-  void cutsAlikeHoweverTheBytesArrive(
+  void splitsIdenticallyHoweverTheBytesArrive(
       @ForAll @IntRange(min = 1, max = 9) int size, @ForAll @IntRange(min = 1, max = 9) int next) {
     EventSplitter fresh = new EventSplitter();
     byte[] bytes = STREAM.getBytes(StandardCharsets.UTF_8);
@@ -41,11 +41,11 @@
   }
 
   /**
-   * A caller reads half of one event and the rest of another. The endpoint stopped in the middle of
-   * an event, and the next one began after the last whole one.
+   * Guards against a caller that reads half of one event joined with another. The first endpoint
+   * stopped in the middle of an event, and the next endpoint started after the last complete event.
    */
   @Test
-  void keepsATornEventBack() {
+  void holdsBackAPartialEvent() {
     List<StreamEvent> events = splitter.feed(text("id: 1\ndata: a\n\nid: 2\ndat"));
     assertEquals(1, events.size());
     assertTrue(splitter.torn());
@@ -54,19 +54,22 @@
   }
 
   @Test
-  void passesEventsWithoutANumberOn() {
+  void returnsEventsWithoutANumber() {
     StreamEvent event = splitter.feed(text("data: x\n\n")).get(0);
     assertEquals(-1, event.id());
     assertEquals("data: x\n\n", new String(event.bytes(), StandardCharsets.UTF_8));
   }
 
   @Test
-  void readsEachFieldAsItStands() {
+  void parsesFieldsWithoutNormalizingThem() {
     StreamEvent event = splitter.feed(text("data:\r\ndata:  a\rb\r\nid:  x\nid: 7\n\n")).get(0);
-    assertEquals(-1, event.id(), "the first number counts, and it is none");
+    assertEquals(-1, event.id(), "the first id line counts, and its value is not a number");
     assertEquals(" a\rb", EventSplitter.data(event));
     assertEquals(12, splitter.feed(text("identity: 3\nid:12\r\n\r\n")).get(0).id());
-    assertEquals(1, splitter.feed(text("\n\n")).size(), "an empty line alone ends nothing");
+    assertEquals(
+        1,
+        splitter.feed(text("\n\n")).size(),
+        "an additional empty line must not end an event of its own");
   }
 
   private static ByteBuf text(String text) {
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/wire/SilenceWatchTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/wire/SilenceWatchTest.java
@@ -16,7 +16,7 @@
   private static final Duration STALLED = Duration.ofMillis(1_000);
 
   private final VirtualLoop time = new VirtualLoop();
-  private final List<String> told = new ArrayList<>();
+  private final List<String> notifications = new ArrayList<>();
   private Instant lastHeard = time.instant();
   private final SilenceWatch watch =
       new SilenceWatch(
@@ -27,50 +27,53 @@
           new SilenceWatch.Listener() {
             @Override
             public void suspicious(Duration silence) {
-              told.add("suspicious");
+              notifications.add("suspicious");
             }
 
             @Override
             public boolean stalled(Duration silence) {
-              told.add("stalled");
+              notifications.add("stalled");
               return false;
             }
           });
 
   @Test
-  void tellsOfAnEndpointThatIsSilent() {
+  void reportsASilentEndpoint() {
     watch.start();
     time.advance(Duration.ofMillis(401));
-    assertEquals(List.of("suspicious"), told);
+    assertEquals(List.of("suspicious"), notifications);
     time.advance(Duration.ofMillis(600));
-    assertEquals(List.of("suspicious", "stalled"), told);
+    assertEquals(List.of("suspicious", "stalled"), notifications);
   }
 
   /**
-   * All streams of a gateway are cut and callers are refused for seconds, though the endpoints are
-   * well. The process had stood still for 2.5 s ("silent for 2498 ms" of every stream within 20 ms,
-   * and no suspicion of any before): it took the time in which it had read nothing for silence of
-   * the endpoints, left them all and told their coordinator that they had failed.
+   * Guards against a process that takes its own pause for silence of the endpoints. The process had
+   * been paused for 2.5 s ("silent for 2498 ms" was logged for every stream within 20 ms, without
+   * an earlier suspicion). It abandoned all healthy endpoints, cut all streams, reported the
+   * endpoints to their coordinator as failed, and callers were refused for seconds.
    */
   @Test
-  void takesItsOwnStandstillForNoSilence() {
+  void doesNotCountItsOwnPauseAsSilence() {
     watch.start();
     time.advance(Duration.ofMillis(100));
     time.standStill(Duration.ofMillis(2_500));
-    assertEquals(List.of(), told);
+    assertEquals(List.of(), notifications);
     lastHeard = time.instant();
     time.advance(Duration.ofMillis(399));
-    assertEquals(List.of(), told);
+    assertEquals(List.of(), notifications);
     time.advance(Duration.ofMillis(602));
-    assertEquals(List.of("suspicious", "stalled"), told, "an endpoint that is silent from then on");
+    assertEquals(
+        List.of("suspicious", "stalled"),
+        notifications,
+        "a silence that starts after the pause must be reported");
   }
 
   @Test
-  void findsAnEndpointThatIsSilentAfterAStandstill() {
+  void detectsASilentEndpointAfterAPause() {
     watch.start();
     time.standStill(Duration.ofMillis(2_500));
     time.advance(Duration.ofMillis(1_001));
-    assertEquals(List.of("suspicious", "stalled"), told);
+    assertEquals(List.of("suspicious", "stalled"), notifications);
     assertTrue(watch.stalled());
   }
 }
