--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/process/ConfigSource.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/process/ConfigSource.java
@@ -10,7 +10,7 @@
 import java.time.InstantSource;
 import java.util.List;
 
-/** Takes configurations from the store in force. */
+/** Applies configurations read from the store. */
 final class ConfigSource implements KeyedFollower.Listener {
 
   private final SourceFormats formats;
@@ -35,12 +35,12 @@
     for (KeyedRecord record : records) {
       byte[] value = record.value();
       if (record.key().equals(formats.configKey()) && value != null) {
-        take(value);
+        apply(value);
       }
     }
   }
 
-  private void take(byte[] value) {
+  private void apply(byte[] value) {
     try {
       RoutingConfig config = formats.config(value);
       unreadable.forget(formats.configKey());
@@ -49,7 +49,7 @@
           .with("version", config.version())
           .write();
     } catch (UnreadableException e) {
-      // The former configuration stays in force.
+      // The previous configuration stays in force.
       unreadable.report(formats.configKey(), e);
     }
   }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/process/EndpointSource.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/process/EndpointSource.java
@@ -15,16 +15,16 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 
-/** Keeps the endpoint directory as the store tells. */
+/** Updates the endpoint directory from the store. */
 final class EndpointSource implements KeyedFollower.Listener {
 
   /**
-   * Shortest outage in which entries can lapse: they do after 3.6 s without a heartbeat, and the
-   * last one is up to 1.2 s old when the outage begins. Were shorter failures taken for outages, a
-   * read that failed once would keep an endpoint that leaves in use for 2.3 s, longer than it
-   * stays.
+   * Shortest outage in which entries can expire. An entry expires 3.6 s after the last heartbeat,
+   * and that heartbeat is up to 1.2 s old when the outage begins. If a shorter failure counted as
+   * an outage, a single failed read would keep a leaving endpoint in use for 2.3 s, longer than the
+   * endpoint stays.
    */
-  private static final Duration LAPSING_OUTAGE = Duration.ofSeconds(2);
+  private static final Duration MIN_EXPIRY_OUTAGE = Duration.ofSeconds(2);
 
   private final SourceFormats formats;
   private final EndpointDirectory directory;
@@ -63,7 +63,7 @@
     }
     directory.replaceAll(entries, clock.instant());
     loaded = true;
-    expireLater();
+    scheduleExpiry();
     log.important("endpoint", "list.loaded").with("entries", directory.size()).write();
   }
 
@@ -75,7 +75,7 @@
         log.important("endpoint", "removed").with("endpoint", record.key()).write();
         unreadable.forget(record.key());
         directory.remove(record.key(), clock.instant());
-        expireLater();
+        scheduleExpiry();
       } else {
         read(record.key(), value).ifPresent(this::put);
       }
@@ -84,7 +84,7 @@
 
   @Override
   public void onRegained(Duration outage) {
-    if (outage.compareTo(LAPSING_OUTAGE) >= 0) {
+    if (outage.compareTo(MIN_EXPIRY_OUTAGE) >= 0) {
       directory.outageEnded(clock.instant());
     }
   }
@@ -97,30 +97,29 @@
           .write();
       return;
     }
-    Optional<EndpointRecord> former = directory.find(entry.id());
-    if (former.isEmpty() || former.get().leaving() != entry.leaving()) {
+    Optional<EndpointRecord> previous = directory.find(entry.id());
+    if (previous.isEmpty() || previous.get().leaving() != entry.leaving()) {
       log.important("endpoint", entry.leaving() ? "leaving" : "offered")
           .with("endpoint", entry.id())
           .with("service", entry.service())
           .write();
     }
-    if (former.isPresent() && entry.life().follows(former.get().life())) {
+    if (previous.isPresent() && entry.life().follows(previous.get().life())) {
       log.important("endpoint", "restarted")
           .with("endpoint", entry.id())
           .with("born", entry.born())
-          .with("formerBorn", former.get().born())
+          .with("formerBorn", previous.get().born())
           .write();
     }
     directory.put(entry);
   }
 
   /**
-   * Reads an entry; empty if it names no endpoint.
+   * Decodes an entry; empty if the entry is unreadable.
    *
-   * <p>Failure: another writer replaces the entry of an endpoint by what cannot be read. It shows
-   * as an endpoint that stays in use with what it said before, and whose leaving nobody learns of.
-   * Guard: such an entry names no endpoint, so the one under its key is used no longer, until a
-   * heartbeat brings its entry back.
+   * <p>Another writer may overwrite an endpoint's entry with bytes that cannot be read. If the
+   * previous entry stayed in use, the gateway would not notice when that endpoint leaves. The
+   * gateway therefore stops using the endpoint until a heartbeat restores its entry.
    */
   private Optional<EndpointRecord> read(String id, byte[] value) {
     try {
@@ -140,7 +139,7 @@
     }
   }
 
-  private void expireLater() {
+  private void scheduleExpiry() {
     long millis = EndpointDirectory.MAX_GRACE.plusMillis(20).toMillis();
     executor.schedule(() -> directory.expire(clock.instant()), millis, TimeUnit.MILLISECONDS);
   }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/process/GatewayProcess.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/process/GatewayProcess.java
@@ -43,16 +43,22 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 
-/** A running gateway: everything that touches a request runs on one event loop. */
+/** A running gateway. Everything that touches a request runs on one event loop. */
 public final class GatewayProcess {
 
-  /** Time for which connections are still taken after a stop; the balancer needs two misses. */
-  private static final Duration LINGER = Duration.ofMillis(2_600);
+  /**
+   * Time for which connections are still accepted after the stop signal; the load balancer needs
+   * two failed checks to notice.
+   */
+  private static final Duration ACCEPT_AFTER_STOP = Duration.ofMillis(2_600);
 
-  /** Kept free at the end of the time to stop, so that the process ends by itself. */
+  /**
+   * Time reserved at the end of the stop time, so that the process exits by itself before it is
+   * killed.
+   */
   private static final Duration STOP_MARGIN = Duration.ofMillis(700);
 
-  /** Key by which processes are ranked to share the partitions of jobs. */
+  /** Key that determines the order in which processes share the partitions of the jobs. */
   private static final String JOBS = "jobs";
 
   private static final Duration STOP_POLL = Duration.ofMillis(50);
@@ -88,10 +94,10 @@
     this.log = log;
     FleetView fleet = new FleetView(settings.self());
     HttpCaller direct = new NettyHttpCaller(loop);
-    RelayTransport links = new TcpRelayTransport(loop);
-    RelayingHttpCaller caller = relaying(direct, links, fleet);
+    RelayTransport relayTransport = new TcpRelayTransport(loop);
+    RelayingHttpCaller caller = relayingCaller(direct, relayTransport, fleet);
     LogStore store = new CountedLogStore(access.client().apply(caller), metrics);
-    PeerTransport transport = datagrams();
+    PeerTransport transport = peerTransport();
     FleetSlotClient slots = new FleetSlotClient(fleet, transport, directory, loop, clock, log);
     EndpointPool pool = new EndpointPool(loop, names, clock, metrics);
     directory.onRemoval(endpoint -> pool.forget(endpoint.life()));
@@ -103,7 +109,7 @@
             jobParts(slots, pool, names, store),
             jobFormat,
             new PeerHoldNotices(fleet, transport),
-            new RelayJobPeers(fleet, links, clock),
+            new RelayJobPeers(fleet, relayTransport, clock),
             settings.jobPartitions(),
             () -> rank(fleet));
     new RelayServer(direct, access.address(), caller::away, log)
@@ -141,7 +147,10 @@
     log.important("process", "started").with("instance", settings.self().name()).write();
   }
 
-  /** Stops taking connections, ends what is being handled, and returns when that is done. */
+  /**
+   * Stops accepting connections, waits for the requests in progress, and returns when the process
+   * may exit.
+   */
   public void stop() {
     CountDownLatch done = new CountDownLatch(1);
     loop.execute(() -> beginStop(done));
@@ -152,24 +161,28 @@
     }
   }
 
-  /** Returns the lines about processor time and traffic. */
+  /** Returns the periodic log lines about processor time and traffic. */
   private PeriodicLines lines() {
     WorkReport work = new WorkReport(loop, new ThreadTimes(), log);
     TrafficLog traffic = new TrafficLog(metrics, log);
     return new PeriodicLines(loop, List.of(work::write, traffic::write));
   }
 
-  /** Returns what calls the store, by peers if need be. */
-  private RelayingHttpCaller relaying(HttpCaller direct, RelayTransport links, FleetView fleet) {
+  /**
+   * Returns the HTTP caller for the store, which uses peers as relays if the store is not directly
+   * reachable.
+   */
+  private RelayingHttpCaller relayingCaller(
+      HttpCaller direct, RelayTransport relayTransport, FleetView fleet) {
     return new RelayingHttpCaller(
         direct,
-        links,
+        relayTransport,
         () -> fleet.rankedOthers(settings.self().name(), clock.instant()),
         clock,
         log);
   }
 
-  private PeerTransport datagrams() {
+  private PeerTransport peerTransport() {
     UdpPeerTransport transport =
         new UdpPeerTransport(loop, settings.self().address(), settings.self().name(), clock, log);
     return new CountedPeerTransport(transport, metrics);
@@ -193,10 +206,11 @@
   }
 
   /**
-   * Returns the place of this process among those that may share the partitions of jobs.
+   * Returns the position of this process among those that share the partitions of the jobs; empty
+   * until the instance list was read.
    *
-   * <p>Before the list is read this process knows of itself alone and would take itself for the
-   * first one: each restart of any process would move partitions.
+   * <p>Before that, this process knows only itself and would rank itself first, so each restart of
+   * a process would move partitions.
    */
   private OptionalInt rank(FleetView fleet) {
     return instances.loaded()
@@ -217,18 +231,19 @@
     front.drain();
     Instant now = clock.instant();
     Instant latest = now.plus(settings.stopTime()).minus(STOP_MARGIN);
-    Instant earliest = now.plus(LINGER);
-    loop.schedule(this::stopAccepting, LINGER.toMillis(), TimeUnit.MILLISECONDS);
+    Instant earliest = now.plus(ACCEPT_AFTER_STOP);
+    loop.schedule(this::stopAccepting, ACCEPT_AFTER_STOP.toMillis(), TimeUnit.MILLISECONDS);
     pollStop(earliest, latest, done);
   }
 
   /**
-   * Takes no requests from now on.
+   * Stops accepting connections and requests.
    *
-   * <p>Failure: the balancer sends connections to a process that is not ready when few others of
-   * its data centre are, and callers use connections that they kept. It shows as requests that come
-   * until the end, and of which the last are cut. Guard: once the balancer has had time to notice,
-   * neither connections nor requests are taken, and callers go to other processes at once.
+   * <p>The load balancer may send connections to a process that is not ready if few other processes
+   * of its data centre are ready, and callers reuse open connections. Requests would then arrive
+   * until the end, and the last ones would be cut off. Once the load balancer has had time to
+   * notice the stop, the process refuses connections and requests, and callers switch to other
+   * processes at once.
    */
   private void stopAccepting() {
     handler.refuseNewRequests();
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/process/GatewaySettings.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/process/GatewaySettings.java
@@ -8,13 +8,13 @@
  * Settings of a gateway.
  *
  * @param self this process
- * @param front where callers connect
- * @param ready where the balancer asks whether this process takes connections
- * @param metrics where figures are scraped
- * @param stopTime time from the signal to stop until the process is killed
- * @param changeTime time within which a change is to be in force everywhere
+ * @param front address for callers' connections
+ * @param ready address at which the load balancer checks whether this process accepts connections
+ * @param metrics address at which metrics are scraped
+ * @param stopTime time from the stop signal until the process is killed
+ * @param changeTime time within which a change must be in force everywhere
  * @param resultRetention time for which results of jobs stay readable
- * @param jobPartitions partitions of the jobs' topic
+ * @param jobPartitions number of partitions of the jobs' topic
  */
 public record GatewaySettings(
     GatewayInstance self,
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/process/InstanceSource.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/process/InstanceSource.java
@@ -24,19 +24,22 @@
 import org.msgpack.core.MessageBufferPacker;
 import org.msgpack.core.MessagePack;
 
-/** Lists this process in the store, and keeps the view of the fleet as the store tells. */
+/**
+ * Registers this process in the instance list of the store, and updates the view of the fleet from
+ * that list.
+ */
 final class InstanceSource implements KeyedFollower.Listener {
 
-  /** Keyed topic of the processes, by their names. */
+  /** Keyed topic of the processes; the key is the name of the instance. */
   static final String TOPIC = "keyed.instances";
 
   private static final int MAX_PORT = 65_535;
 
-  /** Cores of an instance at most; the largest machines have some hundreds. */
+  /** Maximum number of cores of an instance; the largest machines have some hundreds. */
   private static final double MAX_CORES = 1_024;
 
-  /** Pause before this process is listed again after a failure. */
-  private static final Duration REPEAT = Duration.ofMillis(500);
+  /** Delay before this process is registered again after a failure or the loss of its entry. */
+  private static final Duration RETRY_DELAY = Duration.ofMillis(500);
 
   private final FleetView fleet;
   private final LogStore store;
@@ -60,7 +63,7 @@
     this.unreadable = new UnreadableRecords(log, clock, "fleet", "entry.unreadable", "instance");
   }
 
-  /** Lists this process; repeats until the store has taken it. */
+  /** Registers this process; retries until the store has accepted the entry. */
   void announce() {
     if (leaving) {
       return;
@@ -72,8 +75,8 @@
         .whenCompleteAsync(
             (done, failure) -> {
               if (failure != null) {
-                failed("announce.failed", failure);
-                executor.schedule(this::announce, REPEAT.toMillis(), TimeUnit.MILLISECONDS);
+                logFailure("announce.failed", failure);
+                executor.schedule(this::announce, RETRY_DELAY.toMillis(), TimeUnit.MILLISECONDS);
               } else {
                 announcing = false;
               }
@@ -81,7 +84,7 @@
             executor);
   }
 
-  /** Takes this process off the list. */
+  /** Removes this process from the list. */
   void leave() {
     leaving = true;
     KeyedRecord record = new KeyedRecord(fleet.self().name(), null);
@@ -90,18 +93,18 @@
         .whenCompleteAsync(
             (done, failure) -> {
               if (failure != null) {
-                // Peers pass this process over once it is silent.
-                failed("leave.failed", failure);
+                // Peers exclude this process once it does not answer any more.
+                logFailure("leave.failed", failure);
               }
             },
             executor);
   }
 
-  private void failed(String event, Throwable failure) {
+  private void logFailure(String event, Throwable failure) {
     log.important("fleet", event).with("cause", String.valueOf(failure.getMessage())).write();
   }
 
-  /** Returns whether the list was read. */
+  /** Returns whether the list has been read. */
   boolean loaded() {
     return loaded;
   }
@@ -124,40 +127,40 @@
       if (value == null) {
         unreadable.forget(record.key());
         fleet.remove(record.key());
-        announceAnew(record.key());
+        reannounceIfSelf(record.key());
       } else {
-        take(record.key(), value);
+        apply(record.key(), value);
       }
     }
     log.important("fleet", "list.changed").with("others", fleet.others().size()).write();
   }
 
   /**
-   * Takes an entry.
+   * Applies an entry.
    *
-   * <p>Failure: another writer destroys the entry of a process that lives. It shows as partitions
-   * and coordinators that move though nothing has stopped. Guard: an entry that cannot be read
-   * changes nothing, since a process that is gone is noticed by its silence, and one that lives
-   * writes its entry anew.
+   * <p>Another writer may overwrite the entry of a running process. If peers removed that process,
+   * partitions and coordinators would move although nothing has stopped. An unreadable entry
+   * therefore changes nothing: a process that is gone is detected because it does not answer, and a
+   * running process writes its entry again.
    */
-  private void take(String name, byte[] value) {
+  private void apply(String name, byte[] value) {
     try {
       fleet.put(decode(name, value));
       unreadable.forget(name);
     } catch (UnreadableException e) {
       unreadable.report(name, e);
-      announceAnew(name);
+      reannounceIfSelf(name);
     }
   }
 
-  /** Lists this process again if the entry that is gone or destroyed is its own. */
-  private void announceAnew(String name) {
+  /** Registers this process again if the entry that was removed or overwritten is its own. */
+  private void reannounceIfSelf(String name) {
     if (!name.equals(fleet.self().name()) || leaving || announcing) {
       return;
     }
     log.important("fleet", "listed.anew").with("instance", name).write();
     announcing = true;
-    executor.schedule(this::announce, REPEAT.toMillis(), TimeUnit.MILLISECONDS);
+    executor.schedule(this::announce, RETRY_DELAY.toMillis(), TimeUnit.MILLISECONDS);
   }
 
   private static byte[] encode(GatewayInstance instance) {
@@ -169,7 +172,7 @@
       packer.packDouble(instance.cores());
       return packer.toByteArray();
     } catch (IOException e) {
-      throw new UncheckedIOException("A buffer in memory failed", e);
+      throw new UncheckedIOException("writing to an in-memory buffer failed", e);
     }
   }
 
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/process/LoopbackEndpoint.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/process/LoopbackEndpoint.java
@@ -24,13 +24,16 @@
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.TimeUnit;
 
-/** Endpoint on loopback that answers each request with a short stream. */
+/** Endpoint on loopback that answers each request with a short event stream. */
 final class LoopbackEndpoint {
 
   private static final int MAX_BODY_BYTES = 1 << 20;
   private static final int EVENTS = 3;
 
-  /** Pause between events; an answer takes longer than gateways take to renew their uses. */
+  /**
+   * Pause between events; with it, a response takes longer than the interval at which gateways
+   * renew their uses of slots.
+   */
   private static final int PAUSE_MILLIS = 400;
 
   private final HeaderNames names;
@@ -53,19 +56,19 @@
     return address;
   }
 
-  /** Sets up a connection. */
+  /** Sets up the channel pipeline of a connection. */
   private final class Pipeline extends ChannelInitializer<Channel> {
 
     @Override
     protected void initChannel(Channel channel) {
       channel.pipeline().addLast(new HttpServerCodec());
       channel.pipeline().addLast(new HttpObjectAggregator(MAX_BODY_BYTES));
-      channel.pipeline().addLast(new Answer());
+      channel.pipeline().addLast(new ResponseHandler());
     }
   }
 
-  /** Answers a request. */
-  private final class Answer extends SimpleChannelInboundHandler<FullHttpRequest> {
+  /** Answers a request with an event stream. */
+  private final class ResponseHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/process/ReadyServer.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/process/ReadyServer.java
@@ -24,7 +24,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.function.BooleanSupplier;
 
-/** Tells the balancer whether this process takes new connections, and scrapers its figures. */
+/** Serves the readiness check of the load balancer, and the metrics. */
 final class ReadyServer {
 
   private static final String METRICS_PATH = "/metrics";
@@ -49,22 +49,23 @@
         .syncUninterruptibly();
   }
 
-  /** Sets up a connection. */
+  /** Sets up the channel pipeline of a connection. */
   private final class Pipeline extends ChannelInitializer<Channel> {
 
     @Override
     protected void initChannel(Channel channel) {
       channel.pipeline().addLast(new HttpServerCodec());
-      channel.pipeline().addLast(new Answer());
+      channel.pipeline().addLast(new ResponseHandler());
     }
   }
 
-  /** Answers each request by the state alone. */
-  private final class Answer extends SimpleChannelInboundHandler<HttpRequest> {
+  /** Answers each request from the current state, without reading a request body. */
+  private final class ResponseHandler extends SimpleChannelInboundHandler<HttpRequest> {
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, HttpRequest request) {
-      FullHttpResponse response = request.uri().startsWith(METRICS_PATH) ? figures() : readiness();
+      FullHttpResponse response =
+          request.uri().startsWith(METRICS_PATH) ? metricsResponse() : readinessResponse();
       int length = response.content().readableBytes();
       response.headers().set(HttpHeaderNames.CONTENT_LENGTH, length);
       var written = ctx.writeAndFlush(response);
@@ -73,13 +74,13 @@
       }
     }
 
-    private FullHttpResponse readiness() {
+    private FullHttpResponse readinessResponse() {
       HttpResponseStatus status =
           ready.getAsBoolean() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE;
       return new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.EMPTY_BUFFER);
     }
 
-    private FullHttpResponse figures() {
+    private FullHttpResponse metricsResponse() {
       byte[] text = metrics.write().getBytes(StandardCharsets.UTF_8);
       return new DefaultFullHttpResponse(
           HttpVersion.HTTP_1_1, HttpResponseStatus.OK, Unpooled.wrappedBuffer(text));
@@ -87,7 +88,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-      // The balancer asks again in a second.
+      // The load balancer repeats its check after a second.
       log.routine("process", "ready.failed").with("cause", cause.toString()).write();
       ctx.close();
     }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/process/ReloadSignal.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/process/ReloadSignal.java
@@ -3,10 +3,10 @@
 import sun.misc.Signal;
 
 /**
- * Calls an action on the signal that asks a process to read its settings again.
+ * Runs an action on the signal that requests a reload of the settings (SIGHUP).
  *
- * <p>Failure: without a handler the runtime takes the signal for one to stop. It shows as processes
- * that end by themselves whenever their settings file changes. Guard: the handler replaces that.
+ * <p>Without a handler, the runtime treats this signal as a request to exit, and processes would
+ * end whenever their settings file changes.
  */
 public final class ReloadSignal {
 
@@ -14,7 +14,7 @@
 
   private ReloadSignal() {}
 
-  /** Sets the action; it runs on a thread of the runtime. */
+  /** Sets the action, which runs on a thread of the runtime. */
   public static void onReload(Runnable action) {
     Signal.handle(HANGUP, signal -> action.run());
   }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/process/SourceFormats.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/process/SourceFormats.java
@@ -4,29 +4,29 @@
 import io.hawthornlb.gateway.endpoint.EndpointRecord;
 import io.hawthornlb.gateway.route.RoutingConfig;
 
-/** Where the store keeps configuration and endpoints, and how they are written there. */
+/** Location and encoding of the configuration and the endpoints in the store. */
 public interface SourceFormats {
 
-  /** Returns the keyed topic that holds the configuration. */
+  /** Returns the keyed topic of the configuration. */
   String configTopic();
 
-  /** Returns the key of the newest configuration. */
+  /** Returns the key of the current configuration. */
   String configKey();
 
-  /** Returns the keyed topic that holds the endpoints by their ids. */
+  /** Returns the keyed topic of the endpoints; the key is the id of the endpoint. */
   String endpointTopic();
 
   /**
-   * Reads a configuration, as a whole or not at all.
+   * Decodes a configuration completely.
    *
-   * @throws UnreadableException if it cannot be read, with the place
+   * @throws UnreadableException if any part cannot be read; names the place
    */
   RoutingConfig config(byte[] value);
 
   /**
-   * Reads an endpoint's entry.
+   * Decodes the entry of an endpoint.
    *
-   * @throws UnreadableException if it names no endpoint, with the place
+   * @throws UnreadableException if the value is no valid entry; names the place
    */
   EndpointRecord endpoint(String id, byte[] value);
 }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/process/SteadyClock.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/process/SteadyClock.java
@@ -4,17 +4,18 @@
 import java.time.InstantSource;
 
 /**
- * Clock that counts on from the time of its creation.
+ * Monotonic clock that starts at the time of day of its creation.
  *
- * <p>Failure: the time of day steps, and every timer that compares two readings of it fires early
- * or late. Guard: the time of day is read once; what follows is measured by the steady clock.
+ * <p>The time of day may jump, and a timer that compares two readings would then fire early or
+ * late. This clock therefore reads the time of day once and measures elapsed time with {@link
+ * System#nanoTime()}.
  */
 public final class SteadyClock implements InstantSource {
 
   private final Instant start;
   private final long startNanos = System.nanoTime();
 
-  /** Creates a clock that starts at the time of another one. */
+  /** Creates a clock that starts at the current time of another clock. */
   public SteadyClock(InstantSource timeOfDay) {
     start = timeOfDay.instant();
   }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/process/StoreAccess.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/process/StoreAccess.java
@@ -7,15 +7,15 @@
 import java.util.function.Supplier;
 
 /**
- * How a platform's log is reached.
+ * Access to the log store of a platform.
  *
- * @param client creates a client that makes its calls with a caller
- * @param address where the log is now, for calls that are made for peers
+ * @param client creates a client that performs its calls with the given caller
+ * @param address current address of the log store, for calls relayed on behalf of peers
  */
 public record StoreAccess(
     Function<HttpCaller, LogStore> client, Supplier<InetSocketAddress> address) {
 
-  /** Returns the access to a log in the process itself, which makes no calls. */
+  /** Returns access to a log store within this process, which performs no calls. */
   public static StoreAccess local(LogStore store) {
     return new StoreAccess(caller -> store, () -> InetSocketAddress.createUnresolved("local", 0));
   }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/process/TrialRun.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/process/TrialRun.java
@@ -31,11 +31,12 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Runs two gateways on loopback, with a log in memory and an endpoint that answers, and sends them
+ * Runs two gateways on loopback with an in-memory log store and a scripted endpoint, and sends them
  * requests of each kind.
  *
- * <p>Purpose: the build runs it to record the classes of a start and of the first requests in an
- * archive, which a new process maps instead of reading and checking each class.
+ * <p>The build uses this run to record the classes that are loaded during startup and the first
+ * requests in a class data sharing archive. A new process maps that archive instead of reading and
+ * verifying each class.
  */
 public final class TrialRun {
 
@@ -50,7 +51,7 @@
   /**
    * A call to the gateway.
    *
-   * @param method method
+   * @param method HTTP method
    * @param path path and query
    * @param headers headers
    * @param body body
@@ -65,17 +66,18 @@
   }
 
   /**
-   * Runs two gateways, of which the first coordinates, and returns the status of each call.
+   * Runs two gateways, of which the first is the coordinator, and returns the status of each call.
    *
-   * @param config a configuration
-   * @param endpoint an endpoint's entry, in which {@code %s} stands for its address
-   * @param calls calls to make at the gateway of a name, one after the other
+   * @param config an encoded configuration
+   * @param endpoint entry of an endpoint in which {@code %s} stands for its address
+   * @param calls returns the calls to send to the gateway with a given name, in order
    */
   public List<Integer> run(byte[] config, String endpoint, Function<String, List<Call>> calls) {
     EventLoop loop = AccountedEventLoop.create();
     InMemoryLogStore store = new InMemoryLogStore(loop, PARTITIONS);
-    InetSocketAddress served = new LoopbackEndpoint(loop, names).address();
-    String address = served.getAddress().getHostAddress() + ":" + served.getPort();
+    InetSocketAddress endpointAddress = new LoopbackEndpoint(loop, names).address();
+    String address =
+        endpointAddress.getAddress().getHostAddress() + ":" + endpointAddress.getPort();
     put(store, formats.configTopic(), formats.configKey(), config);
     put(store, formats.endpointTopic(), "trial", endpoint.formatted(address).getBytes());
     InstantSource clock = new SteadyClock(InstantSource.system());
@@ -101,7 +103,7 @@
     return statuses;
   }
 
-  /** Lists another endpoint, and takes it off the list at once. */
+  /** Adds another endpoint to the list and removes it at once. */
   private void changeEndpoints(InMemoryLogStore store, String entry) {
     put(store, formats.endpointTopic(), "second", entry.getBytes());
     put(store, formats.endpointTopic(), "second", null);
@@ -113,20 +115,20 @@
   }
 
   private static void awaitReady(HttpCaller caller, InetSocketAddress ready) {
-    Call question = new Call("GET", "/ready", Map.of(), new byte[0]);
-    int tries = 0;
-    while (status(caller, ready, question) != 200 && tries < 1_000) {
-      tries++;
+    Call readinessCall = new Call("GET", "/ready", Map.of(), new byte[0]);
+    int attempts = 0;
+    while (status(caller, ready, readinessCall) != 200 && attempts < 1_000) {
+      attempts++;
     }
   }
 
   private static int status(HttpCaller caller, InetSocketAddress address, Call call) {
-    HttpCall whole =
+    HttpCall httpCall =
         new HttpCall(address, call.method(), call.path(), call.headers(), call.body(), CALL_TIME);
     try {
-      return caller.call(whole).thenApply(HttpReply::status).toCompletableFuture().join();
+      return caller.call(httpCall).thenApply(HttpReply::status).toCompletableFuture().join();
     } catch (CompletionException e) {
-      throw new IllegalStateException("The trial gateway did not answer " + call.path(), e);
+      throw new IllegalStateException("the trial gateway did not answer " + call.path(), e);
     }
   }
 
@@ -148,7 +150,7 @@
           STOP_TIME,
           PARTITIONS);
     } catch (IOException e) {
-      throw new UncheckedIOException("No free port on loopback", e);
+      throw new UncheckedIOException("no free port on loopback", e);
     }
   }
 }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/process/package-info.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/process/package-info.java
@@ -1,4 +1,4 @@
-/** Puts the parts of a gateway together. */
+/** Assembles the parts of a gateway into a process. */
 @NullMarked
 package io.hawthornlb.gateway.process;
 
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/process/ConfigSourceTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/process/ConfigSourceTest.java
@@ -21,7 +21,7 @@
   private final ConfigSource source =
       new ConfigSource(new Formats(), holder, InstantSource.system(), log);
 
-  /** The version is the value; 0 cannot be read. */
+  /** Decodes the value as the version; 0 is unreadable. */
   private static final class Formats implements SourceFormats {
 
     @Override
@@ -63,7 +63,7 @@
   }
 
   @Test
-  void takesAReadableOneBehindOneThatIsNot() {
+  void appliesAReadableVersionAfterAnUnreadableOne() {
     source.onAll(List.of(new KeyedRecord("other", new byte[] {0}), config(0)));
     assertTrue(holder.current().isEmpty());
     source.onRecords(List.of(config(0), config(4), config(0)));
@@ -71,11 +71,11 @@
   }
 
   /**
-   * A route that was removed is served again for seconds. A list that was loaded anew, or a record
-   * that was read late, held an earlier version than the one in force.
+   * Guards against a removed route that is served again for seconds. A reloaded list, or a record
+   * that was read late, contained an earlier version than the one in force.
    */
   @Test
-  void passesOverAnEarlierVersionWhereverItComesFrom() {
+  void ignoresAnEarlierVersionFromAnySource() {
     source.onAll(List.of(config(3)));
     source.onRecords(List.of(config(5)));
     source.onAll(List.of(config(3)));
@@ -86,9 +86,12 @@
         log.events());
   }
 
-  /** All requests get 404: the configuration was dropped or spoiled, or the list came empty. */
+  /**
+   * Guards against a 404 for every request because the configuration was removed or corrupted, or
+   * the list was read empty.
+   */
   @Test
-  void keepsTheVersionInForceWhenNoneCanBeRead() {
+  void keepsTheVersionInForceWhenNoneIsReadable() {
     source.onAll(List.of(config(3)));
     source.onAll(List.of());
     source.onRecords(List.of(new KeyedRecord("config", null), config(0)));
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/process/EndpointSourceTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/process/EndpointSourceTest.java
@@ -57,11 +57,12 @@
   }
 
   /**
-   * An endpoint that has left gets a request 2.3 s after its entry was removed. One read of this
-   * gateway had failed just before, which was taken for an outage in which entries lapse.
+   * Guards against a request that is sent to an endpoint 2.3 s after its entry was removed. One
+   * read of this gateway had failed just before, and the failure was taken for an outage in which
+   * entries expire.
    */
   @Test
-  void dropsARemovedEndpointAtOnceAfterAFailedRead() {
+  void dropsARemovedEndpointImmediatelyAfterAFailedRead() {
     source.onAll(List.of(new KeyedRecord("e1", GOOD)));
     source.onRegained(Duration.ofMillis(100));
     source.onRecords(List.of(new KeyedRecord("e1", null)));
@@ -69,11 +70,11 @@
   }
 
   /**
-   * Requests go to an endpoint that left, and none to the one that came: both happened in a part of
-   * the history that the store forgot before anybody heard of it.
+   * Guards against requests that go to an endpoint that left, and not to one that joined. Both
+   * changes were in a part of the log that the store had deleted before the gateway read it.
    */
   @Test
-  void findsInAWholeListWhatLeftAndWhatCameUnheard() {
+  void detectsMissedChangesFromACompleteList() {
     source.onAll(List.of(new KeyedRecord("e1", GOOD)));
     source.onRegained(Duration.ofMillis(100));
     source.onAll(List.of(new KeyedRecord("e2", GOOD)));
@@ -82,7 +83,7 @@
   }
 
   @Test
-  void keepsARemovedEndpointForAWhileAfterAnOutage() {
+  void keepsARemovedEndpointTemporarilyAfterAnOutage() {
     source.onAll(List.of(new KeyedRecord("e1", GOOD)));
     source.onRegained(Duration.ofSeconds(3));
     source.onRecords(List.of(new KeyedRecord("e1", null)));
@@ -92,12 +93,12 @@
   }
 
   /**
-   * Requests go on to an endpoint whose entry another writer has destroyed: what cannot be read was
-   * passed over, and the entry before it stayed in use, after an outage longer than any endpoint
-   * that leaves stays.
+   * Guards against requests to an endpoint whose entry was overwritten by another writer. The
+   * unreadable entry was ignored and the previous entry stayed in use, after an outage that was
+   * longer than a leaving endpoint stays.
    */
   @Test
-  void usesAnEndpointNoLongerOnceItsEntryCannotBeRead() {
+  void stopsUsingAnEndpointWhoseEntryIsUnreadable() {
     source.onAll(List.of(new KeyedRecord("e1", GOOD), new KeyedRecord("e2", GOOD)));
     source.onRegained(Duration.ofSeconds(3));
     source.onRecords(List.of(new KeyedRecord("e1", BAD)));
@@ -109,41 +110,44 @@
   }
 
   @Test
-  void takesAnEntryThatTurnsReadable() {
+  void usesAnEntryThatBecomesReadable() {
     source.onAll(List.of(new KeyedRecord("", BAD), new KeyedRecord("e1", BAD)));
     assertEquals(List.of(), ids());
     source.onRecords(List.of(new KeyedRecord("e1", GOOD)));
     assertEquals(List.of("e1"), ids());
   }
 
-  /** The log holds nothing but one entry, which each read of the list told again. */
+  /**
+   * Guards against a log that is filled by one unreadable entry, because each read of the list logs
+   * it again.
+   */
   @Test
-  void tellsAnEntryOnceForAReason() {
+  void logsAnUnreadableEntryOncePerReason() {
     for (int i = 0; i < 10; i++) {
       source.onAll(List.of(new KeyedRecord("e1", BAD)));
       source.onRecords(List.of(new KeyedRecord("e1", BAD)));
     }
-    assertEquals(1, told());
+    assertEquals(1, logged());
     source.onRecords(List.of(new KeyedRecord("e1", new byte[] {3})));
-    assertEquals(2, told());
+    assertEquals(2, logged());
     source.onRecords(List.of(new KeyedRecord("e1", GOOD), new KeyedRecord("e1", BAD)));
-    assertEquals(3, told());
+    assertEquals(3, logged());
   }
 
   @Test
-  void tellsSomeOfThousands() {
+  void limitsTheLogLinesForThousandsOfEntries() {
     for (int round = 0; round < 3; round++) {
       for (int i = 0; i < 10_000; i++) {
         source.onRecords(List.of(new KeyedRecord("bad" + i, BAD)));
       }
     }
-    assertEquals(50, told());
+    assertEquals(50, logged());
     time.advance(Duration.ofSeconds(61));
     source.onRecords(List.of(new KeyedRecord("another", BAD)));
-    assertEquals(51, told());
+    assertEquals(51, logged());
   }
 
-  private long told() {
+  private long logged() {
     return log.events().stream().filter("endpoint.unreadable"::equals).count();
   }
 
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/process/InstanceListingTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/process/InstanceListingTest.java
@@ -18,7 +18,10 @@
 import java.util.concurrent.CompletionStage;
 import org.junit.jupiter.api.Test;
 
-/** How a process is listed, and forgets others that the list lacks. */
+/**
+ * Covers how a process registers itself, and removes other processes that the list does not
+ * contain.
+ */
 class InstanceListingTest {
 
   private final VirtualLoop time = new VirtualLoop();
@@ -26,12 +29,12 @@
   private final FleetView fleet = new FleetView(instance("self"));
 
   /**
-   * Calls go to an instance that left long ago, and each waits until it seems silent. Its end was
-   * in a part of the history that the store forgot, and the list that was loaded in its place was
-   * only added to what was known.
+   * Guards against calls to an instance that left long ago, each of which waits for a timeout. The
+   * removal was in a part of the log that the store had deleted, and the list loaded instead was
+   * only added to the known instances.
    */
   @Test
-  void forgetsAnInstanceThatTheWholeListLacks() {
+  void removesAnInstanceMissingFromACompleteList() {
     InstanceSource other = source(new FleetView(instance("other")));
     other.announce();
     InstanceSource source = source(fleet);
@@ -52,48 +55,49 @@
   }
 
   /**
-   * An instance gets no datagrams for seconds after its start, and its log does not tell why: the
-   * store had turned away the calls by which it is listed, and only the repeats were seen.
+   * Guards against an instance that receives no datagrams for seconds after its start without a
+   * reason in its log. The store had refused the calls that register the instance, and only the
+   * retries were visible.
    */
   @Test
-  void tellsWhyItIsNotListedAndRepeats() {
-    TurningAway away = new TurningAway();
+  void logsWhyItIsNotListedAndRetries() {
+    RefusingStore refusing = new RefusingStore();
     SilentEventLog log = new SilentEventLog();
-    InstanceSource source = new InstanceSource(fleet, away, time.loop(), time, log);
+    InstanceSource source = new InstanceSource(fleet, refusing, time.loop(), time, log);
     source.announce();
     time.advance(Duration.ofMillis(100));
     assertEquals(List.of("fleet.announce.failed"), log.events());
-    away.turning = false;
+    refusing.refusing = false;
     time.advance(Duration.ofSeconds(1));
-    assertEquals(1, away.taken);
+    assertEquals(1, refusing.accepted);
     assertEquals(List.of("fleet.announce.failed"), log.events());
   }
 
   @Test
-  void tellsWhyItIsStillListedAfterItLeft() {
+  void logsWhyItIsStillListedAfterLeaving() {
     SilentEventLog log = new SilentEventLog();
-    new InstanceSource(fleet, new TurningAway(), time.loop(), time, log).leave();
+    new InstanceSource(fleet, new RefusingStore(), time.loop(), time, log).leave();
     time.advance(Duration.ofMillis(100));
     assertEquals(List.of("fleet.leave.failed"), log.events());
   }
 
-  /** Log that turns writers away. */
-  private final class TurningAway extends InMemoryLogStore {
+  /** Log store that refuses appends. */
+  private final class RefusingStore extends InMemoryLogStore {
 
-    private boolean turning = true;
-    private int taken;
+    private boolean refusing = true;
+    private int accepted;
 
-    private TurningAway() {
+    private RefusingStore() {
       super(time.loop(), 1);
     }
 
     @Override
     public CompletionStage<Appended> append(AppendCall call) {
-      if (turning) {
+      if (refusing) {
         return CompletableFuture.failedFuture(
-            new StoreException(StoreException.Kind.NOT_DONE, "The store answered 503"));
+            new StoreException(StoreException.Kind.NOT_DONE, "the store answered 503"));
       }
-      taken++;
+      accepted++;
       return super.append(call);
     }
   }
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/process/InstanceSourceTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/process/InstanceSourceTest.java
@@ -24,7 +24,7 @@
 
 class InstanceSourceTest {
 
-  private static final byte[] NOISE = {(byte) 0xff};
+  private static final byte[] GARBAGE = {(byte) 0xff};
 
   private final VirtualLoop time = new VirtualLoop();
   private final InMemoryLogStore store = new InMemoryLogStore(time.loop(), 1);
@@ -33,15 +33,15 @@
   private final InstanceSource source = new InstanceSource(fleet, store, time.loop(), time, log);
 
   /**
-   * A gateway runs no job for as long as it lives, and takes no part in the fleet: the list holds
-   * one entry of another writer, and reading the list ended there.
+   * Guards against a gateway that runs no jobs and takes no part in the fleet, because reading the
+   * list stops at an entry of another writer.
    */
   @Test
-  void readsTheListWithForeignEntries() throws IOException {
+  void readsAListThatContainsForeignEntries() throws IOException {
     source.onAll(
         List.of(
             new KeyedRecord("", entry("127.0.0.1", 9, 1)),
-            new KeyedRecord("bad", NOISE),
+            new KeyedRecord("bad", GARBAGE),
             new KeyedRecord("blank", entry("", 9, 1)),
             new KeyedRecord("named", entry("localhost", 9, 1)),
             new KeyedRecord("portless", entry("127.0.0.1", 0, 1)),
@@ -53,26 +53,30 @@
     assertEquals(List.of("g2"), fleet.others().stream().map(GatewayInstance::name).toList());
   }
 
-  /** A peer that lives and serves stays in the fleet, since its own entry comes back. */
+  /**
+   * A running peer stays in the fleet although its entry was overwritten, because the peer restores
+   * its own entry.
+   */
   @Test
-  void keepsAPeerWhoseEntryWasDestroyed() throws IOException {
+  void keepsAPeerWhoseEntryWasOverwritten() throws IOException {
     source.onAll(List.of(new KeyedRecord("g2", entry("127.0.0.1", 9, 1))));
-    source.onRecords(List.of(new KeyedRecord("g2", NOISE)));
-    source.onRecords(List.of(new KeyedRecord("g2", NOISE)));
+    source.onRecords(List.of(new KeyedRecord("g2", GARBAGE)));
+    source.onRecords(List.of(new KeyedRecord("g2", GARBAGE)));
     assertEquals(1, fleet.others().size());
     assertEquals(1, log.events().stream().filter("fleet.entry.unreadable"::equals).count());
   }
 
   /**
-   * A process works alone until it is restarted: another writer destroyed its entry, or the one
-   * before it under its name took it off when it stopped, and nobody else learned of it any more.
+   * Guards against a process that stays unknown to its peers until it is restarted. Another writer
+   * overwrote its entry, or the previous process of the same name removed the entry when it
+   * stopped.
    */
   @Test
-  void listsItselfAnewWhenItsEntryIsDestroyedOrGone() {
+  void registersItselfAgainWhenItsEntryIsOverwrittenOrRemoved() {
     source.announce();
     time.advance(Duration.ofMillis(10));
-    write(NOISE);
-    source.onRecords(List.of(new KeyedRecord("g1", NOISE)));
+    write(GARBAGE);
+    source.onRecords(List.of(new KeyedRecord("g1", GARBAGE)));
     time.advance(Duration.ofSeconds(1));
     assertTrue(listed());
     write(null);
@@ -86,7 +90,7 @@
   }
 
   @Property(tries = 1_000, seed = ForeignBytes.SEED)
-  void anEntryIsAnInstanceOrUnreadable(@ForAll long seed) throws IOException {
+  void decodesAnEntryOrReportsItUnreadable(@ForAll long seed) throws IOException {
     byte[] bytes = ForeignBytes.of(entry("127.0.0.1", 9, 1), new Random(seed));
     List<KeyedRecord> records =
         List.of(new KeyedRecord("bad", bytes), new KeyedRecord("g2", entry("127.0.0.1", 9, 1)));
@@ -113,7 +117,7 @@
         .join()
         .records()
         .stream()
-        .anyMatch(each -> each.key().equals("g1") && each.value().length > NOISE.length);
+        .anyMatch(each -> each.key().equals("g1") && each.value().length > GARBAGE.length);
   }
 
   private static GatewayInstance instance(String name) {
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/process/ReloadSignalTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/process/ReloadSignalTest.java
@@ -8,11 +8,12 @@
 class ReloadSignalTest {
 
   /**
-   * Eight processes end within two seconds, and their callers' requests are cut. Their settings
-   * files had changed, and the signal that tells it ended the runtime.
+   * Guards against processes that exit on a change of their settings file: eight processes ended
+   * within two seconds and cut off their callers' requests, because the reload signal ended the
+   * runtime.
    */
   @Test
-  void readsSettingsAgainInPlaceOfEnding() {
+  void reloadsSettingsInsteadOfExiting() {
     AtomicInteger reloads = new AtomicInteger();
     ReloadSignal.onReload(reloads::incrementAndGet);
     Signal.raise(new Signal("HUP"));
