--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/endpoint/EndpointDirectory.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/endpoint/EndpointDirectory.java
@@ -51,7 +51,7 @@
   private final Map<String, Instant> expiring = new HashMap<>();
   private final Map<String, Long> starts = new HashMap<>();
   private final List<Consumer<EndpointRecord>> removalListeners = new ArrayList<>();
-  private final List<Consumer<EndpointLife>> restartListeners = new ArrayList<>();
+  private final List<Consumer<EndpointIncarnation>> restartListeners = new ArrayList<>();
   private final List<Runnable> changeListeners = new ArrayList<>();
   private Instant outageEnd = Instant.MIN;
 
@@ -132,13 +132,13 @@
   }
 
   /** Returns whether a later incarnation of the endpoint is known. */
-  public boolean former(EndpointLife life) {
+  public boolean former(EndpointIncarnation life) {
     Long start = starts.get(life.id());
     return start != null && life.born() < start;
   }
 
   /** Returns whether the directory knows only an earlier incarnation of the endpoint. */
-  public boolean isNewerThanKnown(EndpointLife life) {
+  public boolean isNewerThanKnown(EndpointIncarnation life) {
     Long start = starts.get(life.id());
     return start != null && start < life.born();
   }
@@ -154,7 +154,7 @@
   }
 
   /** Adds a listener that is called once for each restart of a known endpoint. */
-  public void onNewLife(Consumer<EndpointLife> listener) {
+  public void onNewLife(Consumer<EndpointIncarnation> listener) {
     restartListeners.add(listener);
   }
 
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/endpoint/EndpointLife.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/endpoint/EndpointIncarnation.java
@@ -9,23 +9,23 @@
  * @param id id of the endpoint
  * @param born Unix time of the start in milliseconds; {@link #UNKNOWN} if not reported
  */
-public record EndpointLife(String id, long born) {
+public record EndpointIncarnation(String id, long born) {
 
   /** Start time that was not reported; any reported start is later. */
   public static final long UNKNOWN = -1;
 
   /** Checks the arguments. */
-  public EndpointLife {
+  public EndpointIncarnation {
     Checks.hasText(id, "id");
   }
 
   /** Returns the incarnation of an endpoint that did not report its start. */
-  public static EndpointLife ofUnknownStart(String id) {
-    return new EndpointLife(id, UNKNOWN);
+  public static EndpointIncarnation ofUnknownStart(String id) {
+    return new EndpointIncarnation(id, UNKNOWN);
   }
 
   /** Returns whether another incarnation of the same endpoint started before this one. */
-  public boolean follows(EndpointLife other) {
+  public boolean follows(EndpointIncarnation other) {
     return id.equals(other.id) && born > other.born;
   }
 
@@ -33,7 +33,7 @@
   // run time, which takes some milliseconds.
   @Override
   public boolean equals(Object other) {
-    return other instanceof EndpointLife life && born == life.born && id.equals(life.id);
+    return other instanceof EndpointIncarnation life && born == life.born && id.equals(life.id);
   }
 
   @Override
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/endpoint/EndpointRecord.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/endpoint/EndpointRecord.java
@@ -12,7 +12,8 @@
  * @param dataCentre data centre of the endpoint
  * @param slots number of requests that the endpoint runs concurrently
  * @param leaving whether the endpoint accepts no new requests
- * @param born Unix time of its start in milliseconds; {@link EndpointLife#UNKNOWN} if not reported
+ * @param born Unix time of its start in milliseconds; {@link EndpointIncarnation#UNKNOWN} if not
+ *     reported
  */
 public record EndpointRecord(
     String id,
@@ -38,12 +39,12 @@
       String dataCentre,
       int slots,
       boolean leaving) {
-    this(id, service, address, dataCentre, slots, leaving, EndpointLife.UNKNOWN);
+    this(id, service, address, dataCentre, slots, leaving, EndpointIncarnation.UNKNOWN);
   }
 
   /** Returns the incarnation of the endpoint that wrote the entry. */
-  public EndpointLife life() {
-    return new EndpointLife(id, born);
+  public EndpointIncarnation life() {
+    return new EndpointIncarnation(id, born);
   }
 
   // Written explicitly because the generated methods of a record are linked at run time, which
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/front/Forwarding.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/front/Forwarding.java
@@ -1,7 +1,7 @@
 package io.hawthornlb.gateway.front;
 
 import com.dynatrace.hash4j.hashing.Hashing;
-import io.hawthornlb.gateway.endpoint.EndpointLife;
+import io.hawthornlb.gateway.endpoint.EndpointIncarnation;
 import io.hawthornlb.gateway.endpoint.EndpointRecord;
 import io.hawthornlb.gateway.event.EventLine;
 import io.hawthornlb.gateway.route.Route;
@@ -60,13 +60,13 @@
   private final String id;
   private final String service;
   private final RequestTime time;
-  private final Set<EndpointLife> excluded = new HashSet<>();
+  private final Set<EndpointIncarnation> excluded = new HashSet<>();
   private final AnswerRelay relay;
   private final SilenceWatch watch;
   private @Nullable ScheduledFuture<?> timer;
   private @Nullable SlotKey slot;
   private @Nullable EndpointCall call;
-  private @Nullable EndpointLife endpoint;
+  private @Nullable EndpointIncarnation endpoint;
   private Instant asked = Instant.MIN;
   private int runs;
   private int rejections;
@@ -259,7 +259,7 @@
         .write();
   }
 
-  private void send(EndpointLife life) {
+  private void send(EndpointIncarnation life) {
     endpoint = life;
     Optional<EndpointRecord> target = parts.directory().find(life.id());
     if (target.isEmpty() || target.get().leaving()) {
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/ItemRun.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/ItemRun.java
@@ -1,6 +1,6 @@
 package io.hawthornlb.gateway.job;
 
-import io.hawthornlb.gateway.endpoint.EndpointLife;
+import io.hawthornlb.gateway.endpoint.EndpointIncarnation;
 import io.hawthornlb.gateway.endpoint.EndpointRecord;
 import io.hawthornlb.gateway.event.EventLine;
 import io.hawthornlb.gateway.loop.WorkKind;
@@ -57,7 +57,7 @@
   private final SilenceWatch watch;
   private final RunEstimate estimate;
   private final ItemOutput output;
-  private final Set<EndpointLife> excluded = new HashSet<>();
+  private final Set<EndpointIncarnation> excluded = new HashSet<>();
   private Duration ran = Duration.ZERO;
   private @Nullable Instant sentAt;
   private int failures;
@@ -185,7 +185,7 @@
     }
   }
 
-  private void send(EndpointLife life) {
+  private void send(EndpointIncarnation life) {
     Optional<EndpointRecord> target = parts.directory().find(life.id());
     if (target.isEmpty() || target.get().leaving()) {
       excluded.add(life);
@@ -287,7 +287,7 @@
   /** Takes the answer of one endpoint. */
   private final class Answer implements EndpointCallListener {
 
-    private final EndpointLife life;
+    private final EndpointIncarnation life;
     private final EventSplitter splitter = new EventSplitter();
     private int status;
     private boolean notRun;
@@ -295,7 +295,7 @@
     private boolean strayed;
     private boolean proven;
 
-    private Answer(EndpointLife life) {
+    private Answer(EndpointIncarnation life) {
       this.life = life;
     }
 
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/peer/FleetSlotClient.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/peer/FleetSlotClient.java
@@ -1,7 +1,7 @@
 package io.hawthornlb.gateway.peer;
 
 import io.hawthornlb.gateway.endpoint.EndpointDirectory;
-import io.hawthornlb.gateway.endpoint.EndpointLife;
+import io.hawthornlb.gateway.endpoint.EndpointIncarnation;
 import io.hawthornlb.gateway.endpoint.EndpointRecord;
 import io.hawthornlb.gateway.event.EventLog;
 import io.hawthornlb.gateway.slot.SlotAnswer;
@@ -330,7 +330,7 @@
     private int attempts;
     private int asked;
     private boolean queued;
-    private @Nullable EndpointLife endpoint;
+    private @Nullable EndpointIncarnation endpoint;
     private Instant grantedAt = Instant.MAX;
     private @Nullable ScheduledFuture<?> timer;
 
@@ -406,9 +406,9 @@
       } else if (answer instanceof SlotAnswer.Granted grant) {
         // The later of two incarnations is the running one: either the endpoint is at the address
         // that this process's list has, or it has restarted since.
-        EndpointLife listed =
+        EndpointIncarnation listed =
             directory.find(grant.endpoint()).map(EndpointRecord::life).orElse(grant.life());
-        EndpointLife life = listed.follows(grant.life()) ? listed : grant.life();
+        EndpointIncarnation life = listed.follows(grant.life()) ? listed : grant.life();
         endpoint = life;
         grantedAt = clock.instant();
         listener.onAnswer(new SlotAnswer.Granted(request.key(), life));
@@ -433,7 +433,7 @@
       return notThere && behind ? SlotOutcome.ABANDONED : outcome;
     }
 
-    private SlotUse use(EndpointLife life, Instant now) {
+    private SlotUse use(EndpointIncarnation life, Instant now) {
       Duration left = request.work().minus(Duration.between(grantedAt, now));
       return new SlotUse(
           request.key().number(),
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/peer/PeerCodec.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/peer/PeerCodec.java
@@ -2,7 +2,7 @@
 
 import io.hawthornlb.gateway.decode.MessageReader;
 import io.hawthornlb.gateway.decode.UnreadableException;
-import io.hawthornlb.gateway.endpoint.EndpointLife;
+import io.hawthornlb.gateway.endpoint.EndpointIncarnation;
 import io.hawthornlb.gateway.slot.SlotAnswer;
 import io.hawthornlb.gateway.slot.SlotKey;
 import io.hawthornlb.gateway.slot.SlotOutcome;
@@ -110,7 +110,7 @@
     packer.packLong(request.patience().toMillis());
     packer.packLong(request.fingerprint());
     packer.packArrayHeader(request.excluded().size());
-    for (EndpointLife life : request.excluded()) {
+    for (EndpointIncarnation life : request.excluded()) {
       packLife(packer, life);
     }
   }
@@ -145,7 +145,7 @@
     packer.packString(key.holder()).packLong(key.number());
   }
 
-  private static void packLife(MessagePacker packer, EndpointLife life) throws IOException {
+  private static void packLife(MessagePacker packer, EndpointIncarnation life) throws IOException {
     packer.packString(life.id()).packLong(life.born());
   }
 
@@ -216,7 +216,7 @@
     Duration maxWait = reader.millis("maxWait", MAX_TIME);
     Duration patience = reader.millis("patience", MAX_TIME);
     long fingerprint = reader.number();
-    Set<EndpointLife> excluded = new HashSet<>();
+    Set<EndpointIncarnation> excluded = new HashSet<>();
     int size = reader.listSize();
     for (int i = 0; i < size; i++) {
       excluded.add(unpackLife(reader));
@@ -232,7 +232,7 @@
     int size = reader.listSize();
     for (int i = 0; i < size; i++) {
       long number = reader.number();
-      EndpointLife life = unpackLife(reader);
+      EndpointIncarnation life = unpackLife(reader);
       boolean batch = reader.flag();
       long rank = reader.number();
       uses.add(new SlotUse(number, life, batch, rank, reader.millis("work", MAX_TIME)));
@@ -240,8 +240,8 @@
     return new PeerMessage.Renew(service, holder, uses);
   }
 
-  private static EndpointLife unpackLife(MessageReader reader) throws IOException {
-    return new EndpointLife(reader.text(), reader.number());
+  private static EndpointIncarnation unpackLife(MessageReader reader) throws IOException {
+    return new EndpointIncarnation(reader.text(), reader.number());
   }
 
   private static SlotKey unpackKey(MessageReader reader) throws IOException {
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/SlotAnswer.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/SlotAnswer.java
@@ -1,6 +1,6 @@
 package io.hawthornlb.gateway.slot;
 
-import io.hawthornlb.gateway.endpoint.EndpointLife;
+import io.hawthornlb.gateway.endpoint.EndpointIncarnation;
 import java.time.Duration;
 
 /** What a coordinator tells about a request for a slot. */
@@ -14,11 +14,11 @@
    *
    * @param life endpoint, and which of its lives the slot is one of
    */
-  record Granted(SlotKey key, EndpointLife life) implements SlotAnswer {
+  record Granted(SlotKey key, EndpointIncarnation life) implements SlotAnswer {
 
     /** Creates a grant at an endpoint that did not say when it started. */
     public Granted(SlotKey key, String endpoint) {
-      this(key, EndpointLife.ofUnknownStart(endpoint));
+      this(key, EndpointIncarnation.ofUnknownStart(endpoint));
     }
 
     /** Returns the id of the endpoint. */
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/SlotRequest.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/SlotRequest.java
@@ -1,6 +1,6 @@
 package io.hawthornlb.gateway.slot;
 
-import io.hawthornlb.gateway.endpoint.EndpointLife;
+import io.hawthornlb.gateway.endpoint.EndpointIncarnation;
 import java.time.Duration;
 import java.util.Set;
 
@@ -30,7 +30,7 @@
     Duration maxWait,
     Duration patience,
     long fingerprint,
-    Set<EndpointLife> excluded) {
+    Set<EndpointIncarnation> excluded) {
 
   /** Creates a request of unknown work that waits no longer when it comes back. */
   public SlotRequest(
@@ -41,7 +41,7 @@
       String dataCentre,
       Duration maxWait,
       long fingerprint,
-      Set<EndpointLife> excluded) {
+      Set<EndpointIncarnation> excluded) {
     this(
         key,
         service,
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/SlotUse.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/SlotUse.java
@@ -1,6 +1,6 @@
 package io.hawthornlb.gateway.slot;
 
-import io.hawthornlb.gateway.endpoint.EndpointLife;
+import io.hawthornlb.gateway.endpoint.EndpointIncarnation;
 import java.time.Duration;
 
 /**
@@ -12,11 +12,12 @@
  * @param rank order of the request; see {@link SlotRequest#rank()}
  * @param work time for which it still has to run; see {@link SlotRequest#work()}
  */
-public record SlotUse(long number, EndpointLife life, boolean batch, long rank, Duration work) {
+public record SlotUse(
+    long number, EndpointIncarnation life, boolean batch, long rank, Duration work) {
 
   /** Creates a use at an endpoint that did not say when it started. */
   public SlotUse(long number, String endpoint, boolean batch, long rank) {
-    this(number, EndpointLife.ofUnknownStart(endpoint), batch, rank, Duration.ZERO);
+    this(number, EndpointIncarnation.ofUnknownStart(endpoint), batch, rank, Duration.ZERO);
   }
 
   /** Returns the id of the endpoint. */
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/support/DefaultSlotCoordinator.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/support/DefaultSlotCoordinator.java
@@ -1,7 +1,7 @@
 package io.hawthornlb.gateway.slot.support;
 
 import io.hawthornlb.gateway.endpoint.EndpointDirectory;
-import io.hawthornlb.gateway.endpoint.EndpointLife;
+import io.hawthornlb.gateway.endpoint.EndpointIncarnation;
 import io.hawthornlb.gateway.endpoint.EndpointRecord;
 import io.hawthornlb.gateway.slot.SlotAnswer;
 import io.hawthornlb.gateway.slot.SlotCoordinator;
@@ -343,7 +343,7 @@
   }
 
   /** Forgets what a former life of an endpoint has made untrue. */
-  private void begun(EndpointLife life) {
+  private void begun(EndpointIncarnation life) {
     penalties.forget(life.id());
     outliers.forget(life.id());
     foreign.forget(life.id());
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/support/SlotLease.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/support/SlotLease.java
@@ -1,6 +1,6 @@
 package io.hawthornlb.gateway.slot.support;
 
-import io.hawthornlb.gateway.endpoint.EndpointLife;
+import io.hawthornlb.gateway.endpoint.EndpointIncarnation;
 import io.hawthornlb.gateway.slot.SlotKey;
 import java.time.Duration;
 import java.time.Instant;
@@ -14,7 +14,7 @@
  */
 record SlotLease(
     SlotKey key,
-    EndpointLife life,
+    EndpointIncarnation life,
     String endpointDataCentre,
     String dataCentre,
     boolean batch,
@@ -32,7 +32,7 @@
   }
 
   /** Returns the use as its holder tells it, which knows best at which life it is. */
-  SlotLease renewed(EndpointLife told, Instant now) {
+  SlotLease renewed(EndpointIncarnation told, Instant now) {
     return with(told, late, now, suspected);
   }
 
@@ -48,7 +48,7 @@
 
   /** Returns the use with what may change of it. */
   private SlotLease with(
-      EndpointLife nowLife, boolean nowLate, Instant nowRenewed, boolean nowSuspected) {
+      EndpointIncarnation nowLife, boolean nowLate, Instant nowRenewed, boolean nowSuspected) {
     return new SlotLease(
         key,
         nowLife,
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/support/SlotSearch.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/support/SlotSearch.java
@@ -1,7 +1,7 @@
 package io.hawthornlb.gateway.slot.support;
 
 import io.hawthornlb.gateway.endpoint.EndpointDirectory;
-import io.hawthornlb.gateway.endpoint.EndpointLife;
+import io.hawthornlb.gateway.endpoint.EndpointIncarnation;
 import io.hawthornlb.gateway.endpoint.EndpointRecord;
 import io.hawthornlb.gateway.slot.SlotRequest;
 import java.time.Instant;
@@ -124,8 +124,8 @@
     if (request.excluded().isEmpty()) {
       return false;
     }
-    EndpointLife life = endpoint.life();
-    for (EndpointLife each : request.excluded()) {
+    EndpointIncarnation life = endpoint.life();
+    for (EndpointIncarnation each : request.excluded()) {
       if (each.equals(life) || each.follows(life)) {
         return true;
       }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/wire/ConnectionCounts.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/wire/ConnectionCounts.java
@@ -1,6 +1,6 @@
 package io.hawthornlb.gateway.wire;
 
-import io.hawthornlb.gateway.endpoint.EndpointLife;
+import io.hawthornlb.gateway.endpoint.EndpointIncarnation;
 import io.hawthornlb.gateway.metric.GatewayMetrics;
 import java.util.HashMap;
 import java.util.Map;
@@ -17,14 +17,14 @@
   private static final String CLOSED = "connections.closed";
 
   private final GatewayMetrics metrics;
-  private final Map<EndpointLife, Use> uses = new HashMap<>();
+  private final Map<EndpointIncarnation, Use> uses = new HashMap<>();
 
   ConnectionCounts(GatewayMetrics metrics) {
     this.metrics = metrics;
   }
 
   /** Counts a request that reuses an idle connection. */
-  void reused(EndpointLife endpoint) {
+  void reused(EndpointIncarnation endpoint) {
     metrics.count(REQUESTS, "kept");
     use(endpoint).open++;
   }
@@ -33,7 +33,7 @@
    * Counts a request that needs a new connection, by the reason why no older connection could be
    * reused.
    */
-  void opened(EndpointLife endpoint) {
+  void opened(EndpointIncarnation endpoint) {
     metrics.count(REQUESTS, "opened");
     Use use = use(endpoint);
     metrics.count(OPENED, use.reason());
@@ -41,24 +41,24 @@
   }
 
   /** Records that a request has ended and its connection is idle now. */
-  void onIdle(EndpointLife endpoint) {
+  void onIdle(EndpointIncarnation endpoint) {
     known(endpoint).ifPresent(use -> use.open--);
   }
 
   /** Counts the close of a connection that was in use. */
-  void closed(EndpointLife endpoint, ConnectionEnd end) {
+  void closed(EndpointIncarnation endpoint, ConnectionEnd end) {
     known(endpoint).ifPresent(use -> use.open--);
     closedIdle(endpoint, end);
   }
 
   /** Counts the close of an idle connection. */
-  void closedIdle(EndpointLife endpoint, ConnectionEnd end) {
+  void closedIdle(EndpointIncarnation endpoint, ConnectionEnd end) {
     metrics.count(CLOSED, end.label());
     known(endpoint).ifPresent(use -> use.lastEnd = end.label());
   }
 
   /** Removes the counts of an endpoint that has left. */
-  void forget(EndpointLife endpoint) {
+  void forget(EndpointIncarnation endpoint) {
     uses.remove(endpoint);
   }
 
@@ -66,11 +66,11 @@
    * Returns the counts of an endpoint; empty if they were removed while connections were still
    * open.
    */
-  private Optional<Use> known(EndpointLife endpoint) {
+  private Optional<Use> known(EndpointIncarnation endpoint) {
     return Optional.ofNullable(uses.get(endpoint));
   }
 
-  private Use use(EndpointLife endpoint) {
+  private Use use(EndpointIncarnation endpoint) {
     return uses.computeIfAbsent(endpoint, any -> new Use());
   }
 
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/wire/EndpointHandler.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/wire/EndpointHandler.java
@@ -1,6 +1,6 @@
 package io.hawthornlb.gateway.wire;
 
-import io.hawthornlb.gateway.endpoint.EndpointLife;
+import io.hawthornlb.gateway.endpoint.EndpointIncarnation;
 import io.hawthornlb.gateway.loop.WorkAccount;
 import io.hawthornlb.gateway.loop.WorkKind;
 import io.netty.channel.Channel;
@@ -50,7 +50,7 @@
 
   private final ConnectionCounts counts;
   private @Nullable PooledCall call;
-  private @Nullable EndpointLife idleEndpoint;
+  private @Nullable EndpointIncarnation idleEndpoint;
   private @Nullable EndpointPool pool;
   private @Nullable ScheduledFuture<?> idleTimer;
   private boolean ignoring;
@@ -63,20 +63,20 @@
   private long startNanos;
   private Duration idleTime = DEFAULT_IDLE;
   private Instant opened = Instant.MAX;
-  private @Nullable EndpointLife life;
+  private @Nullable EndpointIncarnation life;
 
   EndpointHandler(ConnectionCounts counts) {
     this.counts = counts;
   }
 
-  void opened(EndpointLife endpoint, Instant when) {
+  void opened(EndpointIncarnation endpoint, Instant when) {
     life = endpoint;
     opened = when;
   }
 
   /** Records the reason why the connection is being closed; only the first reason counts. */
   void recordEnd(ConnectionEnd end) {
-    EndpointLife endpoint = life;
+    EndpointIncarnation endpoint = life;
     life = null;
     if (endpoint == null) {
       return;
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/wire/EndpointPool.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/wire/EndpointPool.java
@@ -1,6 +1,6 @@
 package io.hawthornlb.gateway.wire;
 
-import io.hawthornlb.gateway.endpoint.EndpointLife;
+import io.hawthornlb.gateway.endpoint.EndpointIncarnation;
 import io.hawthornlb.gateway.metric.GatewayMetrics;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
@@ -45,7 +45,7 @@
   private final HeaderNames names;
   private final InstantSource clock;
   private final ConnectionCounts counts;
-  private final Map<EndpointLife, Deque<Channel>> idle = new HashMap<>();
+  private final Map<EndpointIncarnation, Deque<Channel>> idle = new HashMap<>();
   private final Set<PooledCall> running = new HashSet<>();
   private final Bootstrap bootstrap;
 
@@ -72,7 +72,7 @@
    * @param address address at which the endpoint accepts requests
    */
   public EndpointCall send(
-      EndpointLife endpoint,
+      EndpointIncarnation endpoint,
       InetSocketAddress address,
       FullHttpRequest request,
       EndpointCallListener listener) {
@@ -101,7 +101,7 @@
   }
 
   /** Closes the idle connections to an endpoint that has left. */
-  public void forget(EndpointLife endpoint) {
+  public void forget(EndpointIncarnation endpoint) {
     Deque<Channel> channels = idle.remove(endpoint);
     if (channels != null) {
       channels.forEach(channel -> close(channel, ConnectionEnd.ENDPOINT_GONE));
@@ -113,7 +113,7 @@
    * Closes the idle connections to former incarnations of a restarted endpoint, and fails the
    * requests on other such connections.
    */
-  public void onRestart(EndpointLife endpoint) {
+  public void onRestart(EndpointIncarnation endpoint) {
     List.copyOf(idle.keySet()).stream().filter(endpoint::follows).forEach(this::forget);
     // Runs later, so that a listener that sends the request again finds the new incarnation known
     // everywhere.
@@ -125,7 +125,7 @@
    * to one second late, so a connection that was opened after the start belongs to the new
    * incarnation.
    */
-  private void failFormerCalls(EndpointLife endpoint) {
+  private void failFormerCalls(EndpointIncarnation endpoint) {
     Instant start = Instant.ofEpochMilli(endpoint.born());
     for (PooledCall call : List.copyOf(running)) {
       if (endpoint.follows(call.endpoint()) && call.openedBefore(start)) {
@@ -159,19 +159,19 @@
     return loop;
   }
 
-  void keep(EndpointLife endpoint, Channel channel) {
+  void keep(EndpointIncarnation endpoint, Channel channel) {
     counts.onIdle(endpoint);
     idle.computeIfAbsent(endpoint, any -> new ArrayDeque<>()).push(channel);
   }
 
-  void discard(EndpointLife endpoint, Channel channel) {
+  void discard(EndpointIncarnation endpoint, Channel channel) {
     Deque<Channel> channels = idle.get(endpoint);
     if (channels != null) {
       channels.remove(channel);
     }
   }
 
-  private @Nullable Channel takeIdle(EndpointLife endpoint) {
+  private @Nullable Channel takeIdle(EndpointIncarnation endpoint) {
     Deque<Channel> channels = idle.get(endpoint);
     while (channels != null && !channels.isEmpty()) {
       Channel channel = channels.pop();
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/wire/PooledCall.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/wire/PooledCall.java
@@ -1,6 +1,6 @@
 package io.hawthornlb.gateway.wire;
 
-import io.hawthornlb.gateway.endpoint.EndpointLife;
+import io.hawthornlb.gateway.endpoint.EndpointIncarnation;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
 import io.netty.handler.codec.http.FullHttpRequest;
@@ -12,7 +12,7 @@
 final class PooledCall implements EndpointCall {
 
   private final EndpointPool pool;
-  private final EndpointLife endpoint;
+  private final EndpointIncarnation endpoint;
   private final EndpointCallListener listener;
   private final @Nullable String requestId;
   private @Nullable FullHttpRequest request;
@@ -22,7 +22,7 @@
 
   PooledCall(
       EndpointPool pool,
-      EndpointLife endpoint,
+      EndpointIncarnation endpoint,
       FullHttpRequest request,
       EndpointCallListener listener) {
     this.pool = pool;
@@ -77,7 +77,7 @@
     return pool;
   }
 
-  EndpointLife endpoint() {
+  EndpointIncarnation endpoint() {
     return endpoint;
   }
 
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/endpoint/EndpointDirectoryTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/endpoint/EndpointDirectoryTest.java
@@ -99,7 +99,7 @@
    */
   @Test
   void notifiesOnceOfEachNewIncarnation() {
-    List<EndpointLife> restarted = new ArrayList<>();
+    List<EndpointIncarnation> restarted = new ArrayList<>();
     directory.onNewLife(restarted::add);
     directory.put(started(1));
     directory.put(started(1));
@@ -108,11 +108,12 @@
     directory.replaceAll(List.of(started(3)), now);
     directory.remove("e1", now);
     directory.put(started(4));
-    assertEquals(List.of(new EndpointLife("e1", 3), new EndpointLife("e1", 4)), restarted);
-    assertTrue(directory.former(new EndpointLife("e1", 3)));
-    assertFalse(directory.isNewerThanKnown(new EndpointLife("e1", 4)));
-    assertTrue(directory.isNewerThanKnown(new EndpointLife("e1", 5)));
-    assertFalse(directory.isNewerThanKnown(new EndpointLife("e2", 5)));
+    assertEquals(
+        List.of(new EndpointIncarnation("e1", 3), new EndpointIncarnation("e1", 4)), restarted);
+    assertTrue(directory.former(new EndpointIncarnation("e1", 3)));
+    assertFalse(directory.isNewerThanKnown(new EndpointIncarnation("e1", 4)));
+    assertTrue(directory.isNewerThanKnown(new EndpointIncarnation("e1", 5)));
+    assertFalse(directory.isNewerThanKnown(new EndpointIncarnation("e2", 5)));
   }
 
   private static EndpointRecord started(long born) {
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/peer/FleetSlotClientTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/peer/FleetSlotClientTest.java
@@ -6,7 +6,7 @@
 import io.hawthornlb.gateway.SilentEventLog;
 import io.hawthornlb.gateway.VirtualLoop;
 import io.hawthornlb.gateway.endpoint.EndpointDirectory;
-import io.hawthornlb.gateway.endpoint.EndpointLife;
+import io.hawthornlb.gateway.endpoint.EndpointIncarnation;
 import io.hawthornlb.gateway.endpoint.EndpointRecord;
 import io.hawthornlb.gateway.slot.SlotAnswer;
 import io.hawthornlb.gateway.slot.SlotOutcome;
@@ -95,7 +95,7 @@
     time.advance(Duration.ofMillis(5));
     nodes.get("b1").ask();
     time.advance(Duration.ofMillis(5));
-    assertEquals(List.of(granted(first, EndpointLife.UNKNOWN)), nodes.get("a1").answers);
+    assertEquals(List.of(granted(first, EndpointIncarnation.UNKNOWN)), nodes.get("a1").answers);
     assertEquals(List.of(), nodes.get("b1").answers);
     nodes.get("a1").slots.release(first.key(), SlotOutcome.ANSWERED);
     time.advance(Duration.ofMillis(5));
@@ -118,7 +118,7 @@
             .orElseThrow();
     SlotRequest request = asker.ask();
     time.advance(Duration.ofMillis(60));
-    assertEquals(List.of(granted(request, EndpointLife.UNKNOWN)), asker.answers);
+    assertEquals(List.of(granted(request, EndpointIncarnation.UNKNOWN)), asker.answers);
   }
 
   /**
@@ -136,7 +136,7 @@
     nodes.get(first.name()).down = true;
     SlotRequest request = asker.ask();
     time.advance(Duration.ofMillis(60));
-    assertEquals(List.of(granted(request, EndpointLife.UNKNOWN)), asker.answers);
+    assertEquals(List.of(granted(request, EndpointIncarnation.UNKNOWN)), asker.answers);
     nodes.get(first.name()).down = false;
     for (SlotAnswer late :
         List.of(
@@ -156,7 +156,7 @@
     names.stream().filter(name -> !name.equals("a1")).forEach(name -> nodes.get(name).down = true);
     SlotRequest request = alone.ask();
     time.advance(Duration.ofMillis(150));
-    assertEquals(List.of(granted(request, EndpointLife.UNKNOWN)), alone.answers);
+    assertEquals(List.of(granted(request, EndpointIncarnation.UNKNOWN)), alone.answers);
   }
 
   /**
@@ -225,7 +225,8 @@
     first.ask();
     time.advance(Duration.ofMillis(60));
     assertTrue(
-        first.answers.contains(granted(waits, EndpointLife.UNKNOWN)), first.answers.toString());
+        first.answers.contains(granted(waits, EndpointIncarnation.UNKNOWN)),
+        first.answers.toString());
   }
 
   private Node otherThan(String name) {
@@ -275,14 +276,14 @@
     Node stopping = askers.get(1);
     SlotRequest held = holder.ask();
     time.advance(Duration.ofMillis(5));
-    assertEquals(List.of(granted(held, EndpointLife.UNKNOWN)), holder.answers);
+    assertEquals(List.of(granted(held, EndpointIncarnation.UNKNOWN)), holder.answers);
     nodes.values().forEach(node -> node.fleet.remove(stopping.name));
     SlotRequest late = stopping.ask();
     time.advance(Duration.ofMillis(200));
     assertEquals(List.of(), stopping.answers);
     holder.slots.release(held.key(), SlotOutcome.ANSWERED);
     time.advance(Duration.ofMillis(25));
-    assertEquals(List.of(granted(late, EndpointLife.UNKNOWN)), stopping.answers);
+    assertEquals(List.of(granted(late, EndpointIncarnation.UNKNOWN)), stopping.answers);
   }
 
   /**
@@ -303,7 +304,7 @@
     Node other = askers.get(0);
     SlotRequest next = other.ask();
     time.advance(Duration.ofMillis(600));
-    assertEquals(List.of(granted(next, EndpointLife.UNKNOWN)), other.answers);
+    assertEquals(List.of(granted(next, EndpointIncarnation.UNKNOWN)), other.answers);
   }
 
   /**
@@ -352,7 +353,7 @@
   }
 
   private static SlotAnswer granted(SlotRequest request, long born) {
-    return new SlotAnswer.Granted(request.key(), new EndpointLife(SERVICE, born));
+    return new SlotAnswer.Granted(request.key(), new EndpointIncarnation(SERVICE, born));
   }
 
   private static GatewayInstance instance(String name) {
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/peer/PeerCodecTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/peer/PeerCodecTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
 import io.hawthornlb.gateway.decode.UnreadableException;
-import io.hawthornlb.gateway.endpoint.EndpointLife;
+import io.hawthornlb.gateway.endpoint.EndpointIncarnation;
 import io.hawthornlb.gateway.slot.SlotAnswer;
 import io.hawthornlb.gateway.slot.SlotKey;
 import io.hawthornlb.gateway.slot.SlotOutcome;
@@ -35,7 +35,8 @@
                 Duration.ofMillis(150),
                 Duration.ofMillis(3_000),
                 99,
-                Set.of(new EndpointLife("e1", 7), EndpointLife.ofUnknownStart("e2")))),
+                Set.of(
+                    new EndpointIncarnation("e1", 7), EndpointIncarnation.ofUnknownStart("e2")))),
         new PeerMessage.Answer(new SlotAnswer.Granted(KEY, "e1")),
         new PeerMessage.Answer(new SlotAnswer.Waiting(KEY, Duration.ofMillis(150))),
         new PeerMessage.Answer(
@@ -50,7 +51,8 @@
             "engine",
             "holder~1",
             List.of(
-                new SlotUse(1, EndpointLife.ofUnknownStart("e1"), true, 9, Duration.ofMillis(700)),
+                new SlotUse(
+                    1, EndpointIncarnation.ofUnknownStart("e1"), true, 9, Duration.ofMillis(700)),
                 new SlotUse(2, "e2", false, 0))));
   }
 
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/slot/support/CoordinatorFixture.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/slot/support/CoordinatorFixture.java
@@ -1,7 +1,7 @@
 package io.hawthornlb.gateway.slot.support;
 
 import io.hawthornlb.gateway.endpoint.EndpointDirectory;
-import io.hawthornlb.gateway.endpoint.EndpointLife;
+import io.hawthornlb.gateway.endpoint.EndpointIncarnation;
 import io.hawthornlb.gateway.endpoint.EndpointRecord;
 import io.hawthornlb.gateway.slot.SlotAnswer;
 import io.hawthornlb.gateway.slot.SlotKey;
@@ -66,7 +66,8 @@
         Set.of());
   }
 
-  SlotRequest request(String dataCentre, boolean batch, long rank, Set<EndpointLife> excluded) {
+  SlotRequest request(
+      String dataCentre, boolean batch, long rank, Set<EndpointIncarnation> excluded) {
     numbers++;
     return new SlotRequest(
         new SlotKey("holder", numbers),
@@ -90,7 +91,7 @@
 
   /** Takes that a request uses its slot from now on, until {@link #ended}. */
   void began(SlotRequest request, String endpoint) {
-    EndpointLife life = EndpointLife.ofUnknownStart(endpoint);
+    EndpointIncarnation life = EndpointIncarnation.ofUnknownStart(endpoint);
     uses.put(
         request.key(),
         new SlotUse(request.key().number(), life, request.batch(), request.rank(), request.work()));
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/slot/support/DefaultSlotCoordinatorTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/slot/support/DefaultSlotCoordinatorTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.hawthornlb.gateway.endpoint.EndpointLife;
+import io.hawthornlb.gateway.endpoint.EndpointIncarnation;
 import io.hawthornlb.gateway.endpoint.EndpointRecord;
 import io.hawthornlb.gateway.slot.SlotAnswer;
 import io.hawthornlb.gateway.slot.SlotKey;
@@ -341,7 +341,7 @@
   }
 
   private void fail(String endpoint) {
-    Set<EndpointLife> others =
+    Set<EndpointIncarnation> others =
         Set.copyOf(
             fixture.directory.usable(CoordinatorFixture.SERVICE).stream()
                 .map(EndpointRecord::life)
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/slot/support/OutlierReplayTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/slot/support/OutlierReplayTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.hawthornlb.gateway.endpoint.EndpointDirectory;
-import io.hawthornlb.gateway.endpoint.EndpointLife;
+import io.hawthornlb.gateway.endpoint.EndpointIncarnation;
 import io.hawthornlb.gateway.endpoint.EndpointRecord;
 import io.hawthornlb.gateway.slot.SlotAnswer;
 import io.hawthornlb.gateway.slot.SlotKey;
@@ -102,7 +102,7 @@
     SlotRequest waits = fixture.online("c");
     assertEquals(List.of(new SlotAnswer.Waiting(waits.key(), waits.maxWait())), fixture.ask(waits));
     assertEquals(
-        List.of(new SlotAnswer.Granted(waits.key(), EndpointLife.ofUnknownStart(granted))),
+        List.of(new SlotAnswer.Granted(waits.key(), EndpointIncarnation.ofUnknownStart(granted))),
         fixture.release(first, SlotOutcome.ANSWERED));
   }
 
@@ -190,7 +190,7 @@
 
   /** Ends a use of an endpoint by a data centre. */
   private void endAt(String endpoint, String dataCentre, SlotOutcome outcome) {
-    Set<EndpointLife> others =
+    Set<EndpointIncarnation> others =
         Set.copyOf(
             fixture.directory.usable(CoordinatorFixture.SERVICE).stream()
                 .map(EndpointRecord::life)
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/slot/support/RestartedEndpointTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/slot/support/RestartedEndpointTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 
-import io.hawthornlb.gateway.endpoint.EndpointLife;
+import io.hawthornlb.gateway.endpoint.EndpointIncarnation;
 import io.hawthornlb.gateway.endpoint.EndpointRecord;
 import io.hawthornlb.gateway.slot.SlotAnswer;
 import io.hawthornlb.gateway.slot.SlotKey;
@@ -102,7 +102,7 @@
     assertEquals(List.of(), fixture.release(former, SlotOutcome.FAILED));
     // The failure of the former life does not hold the new one back either.
     assertEquals(
-        List.of(new SlotAnswer.Granted(waiting.key(), new EndpointLife("e1", 2))),
+        List.of(new SlotAnswer.Granted(waiting.key(), new EndpointIncarnation("e1", 2))),
         fixture.release(running, SlotOutcome.ANSWERED));
   }
 
@@ -190,7 +190,7 @@
   @Test
   void excludesTheLifeThatBrokeOffAlone() {
     started("e1", "a", 8, 2);
-    Set<EndpointLife> former = Set.of(new EndpointLife("e1", 1));
+    Set<EndpointIncarnation> former = Set.of(new EndpointIncarnation("e1", 1));
     assertEquals("e1", fixture.granted(fixture.request("a", false, 0, former)));
   }
 
@@ -198,7 +198,7 @@
   @Test
   void excludesALifeThatItHasNotHeardOf() {
     started("e1", "a", 1, 1);
-    Set<EndpointLife> later = Set.of(new EndpointLife("e1", 2));
+    Set<EndpointIncarnation> later = Set.of(new EndpointIncarnation("e1", 2));
     SlotRequest request = fixture.request("a", false, 0, later);
     assertInstanceOf(SlotAnswer.Refused.class, fixture.ask(request).get(0));
   }
@@ -227,7 +227,7 @@
     fixture.granted(request);
     started("e1", "a", 1, 2);
     assertEquals(
-        List.of(new SlotAnswer.Granted(request.key(), new EndpointLife("e1", 2))),
+        List.of(new SlotAnswer.Granted(request.key(), new EndpointIncarnation("e1", 2))),
         fixture.ask(request));
     assertRefused();
   }
@@ -247,7 +247,7 @@
   }
 
   private static SlotUse use(long number, long born) {
-    return new SlotUse(number, new EndpointLife("e1", born), false, 0, Duration.ZERO);
+    return new SlotUse(number, new EndpointIncarnation("e1", born), false, 0, Duration.ZERO);
   }
 
   private static SlotRequest deadly(int attempt) {
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/wire/ConnectionCountsTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/wire/ConnectionCountsTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.hawthornlb.gateway.ScriptedEndpoint;
-import io.hawthornlb.gateway.endpoint.EndpointLife;
+import io.hawthornlb.gateway.endpoint.EndpointIncarnation;
 import io.hawthornlb.gateway.loop.WorkKind;
 import io.hawthornlb.gateway.metric.GatewayMetrics;
 import io.hawthornlb.gateway.metric.MetricsText;
@@ -33,7 +33,7 @@
   private static final String LAST =
       "HTTP/1.1 200 OK\r\nTest-Id: {id}\r\nConnection: close\r\nContent-Length: 4\r\n\r\nbody";
 
-  private static final EndpointLife LIFE = EndpointLife.ofUnknownStart("e0");
+  private static final EndpointIncarnation LIFE = EndpointIncarnation.ofUnknownStart("e0");
 
   private final EventLoop loop =
       (EventLoop) new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
