--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/front/Forwarding.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/front/Forwarding.java
@@ -11,8 +11,8 @@
 import io.hawthornlb.gateway.slot.SlotOutcome;
 import io.hawthornlb.gateway.slot.SlotRequest;
 import io.hawthornlb.gateway.wire.EndpointCall;
+import io.hawthornlb.gateway.wire.ReportedLoad;
 import io.hawthornlb.gateway.wire.SilenceWatch;
-import io.hawthornlb.gateway.wire.ToldLoad;
 import io.netty.buffer.Unpooled;
 import io.netty.handler.codec.http.DefaultFullHttpRequest;
 import io.netty.handler.codec.http.DefaultHttpHeaders;
@@ -130,7 +130,7 @@
    * Called when a response reports the endpoint's load. Reports the load to the coordinator only if
    * requests wait at the endpoint; any other load is not worth a message.
    */
-  void onLoadReported(ToldLoad load) {
+  void onLoadReported(ReportedLoad load) {
     SlotKey held = slot;
     if (held != null && load.waiting() > 0) {
       parts.slots().told(held, load);
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/peer/FleetSlotClient.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/peer/FleetSlotClient.java
@@ -13,7 +13,7 @@
 import io.hawthornlb.gateway.slot.SlotUse;
 import io.hawthornlb.gateway.slot.support.DefaultSlotCoordinator;
 import io.hawthornlb.gateway.slot.support.SlotSettings;
-import io.hawthornlb.gateway.wire.ToldLoad;
+import io.hawthornlb.gateway.wire.ReportedLoad;
 import java.time.Duration;
 import java.time.Instant;
 import java.time.InstantSource;
@@ -142,7 +142,7 @@
   }
 
   @Override
-  public void told(SlotKey key, ToldLoad load) {
+  public void told(SlotKey key, ReportedLoad load) {
     Pending held = pending.get(key);
     if (held == null) {
       return;
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/peer/PeerCodec.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/peer/PeerCodec.java
@@ -8,7 +8,7 @@
 import io.hawthornlb.gateway.slot.SlotOutcome;
 import io.hawthornlb.gateway.slot.SlotRequest;
 import io.hawthornlb.gateway.slot.SlotUse;
-import io.hawthornlb.gateway.wire.ToldLoad;
+import io.hawthornlb.gateway.wire.ReportedLoad;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.time.Duration;
@@ -197,7 +197,7 @@
     SlotKey key = unpackKey(reader);
     String service = reader.text();
     int running = reader.number("running", 0, MAX_COUNT);
-    ToldLoad load = new ToldLoad(running, reader.number("waiting", 0, MAX_COUNT));
+    ReportedLoad load = new ReportedLoad(running, reader.number("waiting", 0, MAX_COUNT));
     return new PeerMessage.Told(service, key, load);
   }
 
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/peer/PeerMessage.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/peer/PeerMessage.java
@@ -5,7 +5,7 @@
 import io.hawthornlb.gateway.slot.SlotOutcome;
 import io.hawthornlb.gateway.slot.SlotRequest;
 import io.hawthornlb.gateway.slot.SlotUse;
-import io.hawthornlb.gateway.wire.ToldLoad;
+import io.hawthornlb.gateway.wire.ReportedLoad;
 import java.util.List;
 
 /** A message between processes of the fleet, sent as one datagram that may be lost. */
@@ -24,7 +24,7 @@
   record Suspect(String service, SlotKey key) implements PeerMessage {}
 
   /** Reports to a coordinator the load that the endpoint of a use reported. */
-  record Told(String service, SlotKey key, ToldLoad load) implements PeerMessage {}
+  record Told(String service, SlotKey key, ReportedLoad load) implements PeerMessage {}
 
   /** Announces that the sender holds a partition of the jobs. */
   record Held(int partition, long epoch) implements PeerMessage {}
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/SlotClient.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/SlotClient.java
@@ -1,6 +1,6 @@
 package io.hawthornlb.gateway.slot;
 
-import io.hawthornlb.gateway.wire.ToldLoad;
+import io.hawthornlb.gateway.wire.ReportedLoad;
 
 /** Gets slots for requests of this gateway. */
 public interface SlotClient {
@@ -23,7 +23,7 @@
   void suspect(SlotKey key);
 
   /** Tells the load that the endpoint of a use told. */
-  void told(SlotKey key, ToldLoad load);
+  void told(SlotKey key, ReportedLoad load);
 
   /** Returns the key of a new request. */
   SlotKey nextKey();
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/SlotCoordinator.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/SlotCoordinator.java
@@ -1,6 +1,6 @@
 package io.hawthornlb.gateway.slot;
 
-import io.hawthornlb.gateway.wire.ToldLoad;
+import io.hawthornlb.gateway.wire.ReportedLoad;
 import java.time.Instant;
 import java.util.List;
 
@@ -29,7 +29,7 @@
   void suspect(SlotKey key, Instant now);
 
   /** Takes the load that the endpoint of a use told. */
-  void told(SlotKey key, ToldLoad load, Instant now);
+  void told(SlotKey key, ReportedLoad load, Instant now);
 
   /** Takes from another coordinator that a request has crashed too many endpoints. */
   void bar(long fingerprint, Instant now);
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/support/DefaultSlotCoordinator.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/support/DefaultSlotCoordinator.java
@@ -9,7 +9,7 @@
 import io.hawthornlb.gateway.slot.SlotOutcome;
 import io.hawthornlb.gateway.slot.SlotRequest;
 import io.hawthornlb.gateway.slot.SlotUse;
-import io.hawthornlb.gateway.wire.ToldLoad;
+import io.hawthornlb.gateway.wire.ReportedLoad;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayList;
@@ -135,7 +135,7 @@
   }
 
   @Override
-  public void told(SlotKey key, ToldLoad load, Instant now) {
+  public void told(SlotKey key, ReportedLoad load, Instant now) {
     SlotLease lease = leases.find(key);
     if (lease != null && leases.counts(lease)) {
       foreign.told(lease.endpoint(), load, leases.used(lease.endpoint()), now);
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/support/ForeignLoad.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/support/ForeignLoad.java
@@ -1,6 +1,6 @@
 package io.hawthornlb.gateway.slot.support;
 
-import io.hawthornlb.gateway.wire.ToldLoad;
+import io.hawthornlb.gateway.wire.ReportedLoad;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.HashMap;
@@ -26,7 +26,7 @@
 
   private final Map<String, Seen> seen = new HashMap<>();
 
-  void told(String endpoint, ToldLoad load, int handedOut, Instant now) {
+  void told(String endpoint, ReportedLoad load, int handedOut, Instant now) {
     int foreign = load.running() + load.waiting() - handedOut;
     if (foreign > 0) {
       seen.put(endpoint, new Seen(foreign, now.plus(VALID)));
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/wire/LoadFormat.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/wire/LoadFormat.java
@@ -7,5 +7,5 @@
 public interface LoadFormat {
 
   /** Returns the load that the headers of a response report; empty if they report none. */
-  Optional<ToldLoad> read(HttpHeaders headers);
+  Optional<ReportedLoad> read(HttpHeaders headers);
 }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/wire/ToldLoad.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/wire/ReportedLoad.java
@@ -6,4 +6,4 @@
  * @param running requests that are running at the endpoint
  * @param waiting requests that are waiting at the endpoint
  */
-public record ToldLoad(int running, int waiting) {}
+public record ReportedLoad(int running, int waiting) {}
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/job/JobFixture.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/job/JobFixture.java
@@ -19,7 +19,7 @@
 import io.hawthornlb.gateway.store.LogStore;
 import io.hawthornlb.gateway.wire.EndpointPool;
 import io.hawthornlb.gateway.wire.HeaderNames;
-import io.hawthornlb.gateway.wire.ToldLoad;
+import io.hawthornlb.gateway.wire.ReportedLoad;
 import io.netty.channel.EventLoop;
 import java.net.InetSocketAddress;
 import java.time.Duration;
@@ -145,7 +145,7 @@
     public void suspect(SlotKey key) {}
 
     @Override
-    public void told(SlotKey key, ToldLoad load) {}
+    public void told(SlotKey key, ReportedLoad load) {}
 
     @Override
     public SlotKey nextKey() {
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/peer/PeerCodecTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/peer/PeerCodecTest.java
@@ -10,7 +10,7 @@
 import io.hawthornlb.gateway.slot.SlotOutcome;
 import io.hawthornlb.gateway.slot.SlotRequest;
 import io.hawthornlb.gateway.slot.SlotUse;
-import io.hawthornlb.gateway.wire.ToldLoad;
+import io.hawthornlb.gateway.wire.ReportedLoad;
 import java.time.Duration;
 import java.util.List;
 import java.util.Set;
@@ -44,7 +44,7 @@
         new PeerMessage.Answer(new SlotAnswer.Revoked(KEY)),
         new PeerMessage.Release("engine", KEY, SlotOutcome.FAILED),
         new PeerMessage.Suspect("engine", KEY),
-        new PeerMessage.Told("engine", KEY, new ToldLoad(8, 3)),
+        new PeerMessage.Told("engine", KEY, new ReportedLoad(8, 3)),
         new PeerMessage.Held(11, 7L << 40),
         new PeerMessage.Barred("engine", -7L << 50),
         new PeerMessage.Renew(
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/slot/support/DefaultSlotCoordinatorTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/slot/support/DefaultSlotCoordinatorTest.java
@@ -13,7 +13,7 @@
 import io.hawthornlb.gateway.slot.SlotOutcome;
 import io.hawthornlb.gateway.slot.SlotRequest;
 import io.hawthornlb.gateway.slot.SlotUse;
-import io.hawthornlb.gateway.wire.ToldLoad;
+import io.hawthornlb.gateway.wire.ReportedLoad;
 import java.net.InetSocketAddress;
 import java.time.Duration;
 import java.util.ArrayList;
@@ -225,7 +225,7 @@
     fixture.endpoint("a1", "a", 8).endpoint("b1", "b", 8);
     SlotRequest first = fixture.online("a");
     assertEquals("a1", fixture.granted(first));
-    fixture.coordinator.told(first.key(), new ToldLoad(8, 2), fixture.now);
+    fixture.coordinator.told(first.key(), new ReportedLoad(8, 2), fixture.now);
     for (int i = 0; i < 8; i++) {
       assertEquals("b1", fixture.granted(fixture.online("a")));
     }
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/slot/support/RestartedEndpointTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/slot/support/RestartedEndpointTest.java
@@ -10,7 +10,7 @@
 import io.hawthornlb.gateway.slot.SlotOutcome;
 import io.hawthornlb.gateway.slot.SlotRequest;
 import io.hawthornlb.gateway.slot.SlotUse;
-import io.hawthornlb.gateway.wire.ToldLoad;
+import io.hawthornlb.gateway.wire.ReportedLoad;
 import java.net.InetSocketAddress;
 import java.time.Duration;
 import java.util.List;
@@ -126,9 +126,9 @@
     started("e1", "a", 1, 1);
     SlotRequest former = fixture.online("a");
     fixture.granted(former);
-    fixture.coordinator.told(former.key(), new ToldLoad(8, 3), fixture.now);
+    fixture.coordinator.told(former.key(), new ReportedLoad(8, 3), fixture.now);
     started("e1", "a", 1, 2);
-    fixture.coordinator.told(former.key(), new ToldLoad(8, 3), fixture.now);
+    fixture.coordinator.told(former.key(), new ReportedLoad(8, 3), fixture.now);
     assertEquals("e1", fixture.granted(fixture.online("a")));
   }
 
