--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/process/SteadyClock.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/process/MonotonicClock.java
@@ -10,13 +10,13 @@
  * late. This clock therefore reads the time of day once and measures elapsed time with {@link
  * System#nanoTime()}.
  */
-public final class SteadyClock implements InstantSource {
+public final class MonotonicClock implements InstantSource {
 
   private final Instant start;
   private final long startNanos = System.nanoTime();
 
   /** Creates a clock that starts at the current time of another clock. */
-  public SteadyClock(InstantSource timeOfDay) {
+  public MonotonicClock(InstantSource timeOfDay) {
     start = timeOfDay.instant();
   }
 
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/process/TrialRun.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/process/TrialRun.java
@@ -80,7 +80,7 @@
         endpointAddress.getAddress().getHostAddress() + ":" + endpointAddress.getPort();
     put(store, formats.configTopic(), formats.configKey(), config);
     put(store, formats.endpointTopic(), "trial", endpoint.formatted(address).getBytes());
-    InstantSource clock = new SteadyClock(InstantSource.system());
+    InstantSource clock = new MonotonicClock(InstantSource.system());
     EventLog log = new JsonEventLog(clock, OutputStream.nullOutputStream());
     HttpCaller caller = new NettyHttpCaller(loop);
     List<GatewayProcess> processes = new ArrayList<>();
