--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/SilentEventLog.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/RecordingEventLog.java
@@ -7,7 +7,7 @@
 import org.jspecify.annotations.Nullable;
 
 /** Event log that records only the names of events. */
-public final class SilentEventLog implements EventLog {
+public final class RecordingEventLog implements EventLog {
 
   private final List<String> events = new ArrayList<>();
 
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/front/FrontServerTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/front/FrontServerTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import io.hawthornlb.gateway.SilentEventLog;
+import io.hawthornlb.gateway.RecordingEventLog;
 import io.hawthornlb.gateway.route.ConfigHolder;
 import io.hawthornlb.gateway.store.LogProof;
 import io.netty.channel.EventLoop;
@@ -65,7 +65,7 @@
             new ConfigHolder(),
             new ConfigFreshness(new NoProof(), Duration.ofSeconds(2), loop),
             InstantSource.system(),
-            new SilentEventLog());
+            new RecordingEventLog());
     server.bind(loop, address);
   }
 
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/front/GatewayFixture.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/front/GatewayFixture.java
@@ -1,7 +1,7 @@
 package io.hawthornlb.gateway.front;
 
+import io.hawthornlb.gateway.RecordingEventLog;
 import io.hawthornlb.gateway.ScriptedEndpoint;
-import io.hawthornlb.gateway.SilentEventLog;
 import io.hawthornlb.gateway.decode.UnreadableException;
 import io.hawthornlb.gateway.endpoint.EndpointRecord;
 import io.hawthornlb.gateway.job.JobCall;
@@ -71,7 +71,7 @@
       (EventLoop) new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
   private final UnresponsiveStore store = new UnresponsiveStore(loop);
   private final Formats formats = new Formats();
-  private final SilentEventLog log = new SilentEventLog();
+  private final RecordingEventLog log = new RecordingEventLog();
   private final GatewaySettings settings;
   private final GatewayProcess process;
   private Duration timeout = Duration.ofMillis(1_500);
@@ -351,7 +351,7 @@
     stopping.start();
   }
 
-  SilentEventLog log() {
+  RecordingEventLog log() {
     return log;
   }
 
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/job/JobDeskTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/job/JobDeskTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.hawthornlb.gateway.SilentEventLog;
+import io.hawthornlb.gateway.RecordingEventLog;
 import io.hawthornlb.gateway.VirtualLoop;
 import io.hawthornlb.gateway.front.FrontRequest;
 import io.hawthornlb.gateway.http.HttpCallException;
@@ -236,7 +236,7 @@
     FixedJobFormat format = new FixedJobFormat(call);
     return new JobDesk(
         replicas,
-        new JobService(replicas, store, format, time.loop(), time, new SilentEventLog()),
+        new JobService(replicas, store, format, time.loop(), time, new RecordingEventLog()),
         format,
         peers,
         partition -> false,
@@ -246,7 +246,7 @@
         },
         time.loop(),
         time,
-        new SilentEventLog());
+        new RecordingEventLog());
   }
 
   private RecordingResponder handle(JobDesk desk) {
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/job/JobFixture.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/job/JobFixture.java
@@ -1,6 +1,6 @@
 package io.hawthornlb.gateway.job;
 
-import io.hawthornlb.gateway.SilentEventLog;
+import io.hawthornlb.gateway.RecordingEventLog;
 import io.hawthornlb.gateway.endpoint.EndpointDirectory;
 import io.hawthornlb.gateway.endpoint.EndpointRecord;
 import io.hawthornlb.gateway.front.FrontRequest;
@@ -90,7 +90,7 @@
         "a",
         loop,
         clock,
-        new SilentEventLog(),
+        new RecordingEventLog(),
         new GatewayMetrics());
   }
 
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/job/JobReadLoadTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/job/JobReadLoadTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.hawthornlb.gateway.SilentEventLog;
+import io.hawthornlb.gateway.RecordingEventLog;
 import io.hawthornlb.gateway.VirtualLoop;
 import io.hawthornlb.gateway.front.FrontRequest;
 import io.hawthornlb.gateway.http.HttpReply;
@@ -95,7 +95,7 @@
 
   private JobService service(int instance, JobFormat format) {
     return new JobService(
-        replicas.get(instance), store, format, time.loop(), time, new SilentEventLog());
+        replicas.get(instance), store, format, time.loop(), time, new RecordingEventLog());
   }
 
   private JobDesk desk(int instance, FixedJobFormat format) {
@@ -108,7 +108,7 @@
         () -> CompletableFuture.completedFuture(owners),
         time.loop(),
         time,
-        new SilentEventLog());
+        new RecordingEventLog());
   }
 
   private FrontRequest request() {
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/job/JobServiceTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/job/JobServiceTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.hawthornlb.gateway.SilentEventLog;
+import io.hawthornlb.gateway.RecordingEventLog;
 import io.hawthornlb.gateway.VirtualLoop;
 import io.hawthornlb.gateway.front.FrontRequest;
 import io.hawthornlb.gateway.store.LogStore;
@@ -208,7 +208,7 @@
   private RecordingResponder handle(JobCall call) {
     JobService service =
         new JobService(
-            replicas, store, new FixedJobFormat(call), time.loop(), time, new SilentEventLog());
+            replicas, store, new FixedJobFormat(call), time.loop(), time, new RecordingEventLog());
     RecordingResponder responder = new RecordingResponder();
     FrontRequest request =
         new FrontRequest(
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/peer/FleetSlotClientTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/peer/FleetSlotClientTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.hawthornlb.gateway.SilentEventLog;
+import io.hawthornlb.gateway.RecordingEventLog;
 import io.hawthornlb.gateway.VirtualLoop;
 import io.hawthornlb.gateway.endpoint.EndpointDirectory;
 import io.hawthornlb.gateway.endpoint.EndpointIncarnation;
@@ -50,7 +50,7 @@
       this.fleet = new FleetView(instance(name));
       directory.put(new EndpointRecord(SERVICE, SERVICE, address(), "a", 1, false));
       this.slots =
-          new FleetSlotClient(fleet, this, directory, time.loop(), time, new SilentEventLog());
+          new FleetSlotClient(fleet, this, directory, time.loop(), time, new RecordingEventLog());
     }
 
     private void connectToAll() {
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/peer/UdpPeerTransportTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/peer/UdpPeerTransportTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.hawthornlb.gateway.SilentEventLog;
+import io.hawthornlb.gateway.RecordingEventLog;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -25,7 +25,7 @@
 
   private final EventLoop loop =
       (EventLoop) new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
-  private final SilentEventLog log = new SilentEventLog();
+  private final RecordingEventLog log = new RecordingEventLog();
 
   @AfterEach
   void end() {
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/process/ConfigSourceTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/process/ConfigSourceTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.hawthornlb.gateway.SilentEventLog;
+import io.hawthornlb.gateway.RecordingEventLog;
 import io.hawthornlb.gateway.decode.UnreadableException;
 import io.hawthornlb.gateway.endpoint.EndpointRecord;
 import io.hawthornlb.gateway.route.CallerLimits;
@@ -16,7 +16,7 @@
 
 class ConfigSourceTest {
 
-  private final SilentEventLog log = new SilentEventLog();
+  private final RecordingEventLog log = new RecordingEventLog();
   private final ConfigHolder holder = new ConfigHolder();
   private final ConfigSource source =
       new ConfigSource(new Formats(), holder, InstantSource.system(), log);
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/process/EndpointSourceTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/process/EndpointSourceTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import io.hawthornlb.gateway.SilentEventLog;
+import io.hawthornlb.gateway.RecordingEventLog;
 import io.hawthornlb.gateway.VirtualLoop;
 import io.hawthornlb.gateway.decode.UnreadableException;
 import io.hawthornlb.gateway.endpoint.EndpointDirectory;
@@ -20,7 +20,7 @@
   private static final byte[] BAD = {2};
 
   private final VirtualLoop time = new VirtualLoop();
-  private final SilentEventLog log = new SilentEventLog();
+  private final RecordingEventLog log = new RecordingEventLog();
   private final EndpointDirectory directory = new EndpointDirectory();
   private final EndpointSource source =
       new EndpointSource(new Formats(), directory, time.loop(), time, log);
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/process/InstanceListingTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/process/InstanceListingTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import io.hawthornlb.gateway.SilentEventLog;
+import io.hawthornlb.gateway.RecordingEventLog;
 import io.hawthornlb.gateway.VirtualLoop;
 import io.hawthornlb.gateway.peer.FleetView;
 import io.hawthornlb.gateway.peer.GatewayInstance;
@@ -62,7 +62,7 @@
   @Test
   void logsWhyItIsNotListedAndRetries() {
     RefusingStore refusing = new RefusingStore();
-    SilentEventLog log = new SilentEventLog();
+    RecordingEventLog log = new RecordingEventLog();
     InstanceSource source = new InstanceSource(fleet, refusing, time.loop(), time, log);
     source.announce();
     time.advance(Duration.ofMillis(100));
@@ -75,7 +75,7 @@
 
   @Test
   void logsWhyItIsStillListedAfterLeaving() {
-    SilentEventLog log = new SilentEventLog();
+    RecordingEventLog log = new RecordingEventLog();
     new InstanceSource(fleet, new RefusingStore(), time.loop(), time, log).leave();
     time.advance(Duration.ofMillis(100));
     assertEquals(List.of("fleet.leave.failed"), log.events());
@@ -110,13 +110,13 @@
             KeyedFollower.UNHURRIED,
             time.loop(),
             time,
-            new SilentEventLog(),
+            new RecordingEventLog(),
             source)
         .start();
   }
 
   private InstanceSource source(FleetView view) {
-    return new InstanceSource(view, store, time.loop(), time, new SilentEventLog());
+    return new InstanceSource(view, store, time.loop(), time, new RecordingEventLog());
   }
 
   private static GatewayInstance instance(String name) {
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/process/InstanceSourceTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/process/InstanceSourceTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.hawthornlb.gateway.SilentEventLog;
+import io.hawthornlb.gateway.RecordingEventLog;
 import io.hawthornlb.gateway.VirtualLoop;
 import io.hawthornlb.gateway.decode.ForeignBytes;
 import io.hawthornlb.gateway.peer.FleetView;
@@ -28,7 +28,7 @@
 
   private final VirtualLoop time = new VirtualLoop();
   private final InMemoryLogStore store = new InMemoryLogStore(time.loop(), 1);
-  private final SilentEventLog log = new SilentEventLog();
+  private final RecordingEventLog log = new RecordingEventLog();
   private final FleetView fleet = new FleetView(instance("g1"));
   private final InstanceSource source = new InstanceSource(fleet, store, time.loop(), time, log);
 
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/relay/CutReadsTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/relay/CutReadsTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.hawthornlb.gateway.SilentEventLog;
+import io.hawthornlb.gateway.RecordingEventLog;
 import io.hawthornlb.gateway.VirtualLoop;
 import io.hawthornlb.gateway.http.HttpCall;
 import io.hawthornlb.gateway.http.HttpCallException;
@@ -185,7 +185,7 @@
       HttpCaller direct = store.direct();
       RelayingHttpCaller caller =
           new RelayingHttpCaller(
-              direct, this::asPeer, () -> others(name), time, new SilentEventLog());
+              direct, this::asPeer, () -> others(name), time, new RecordingEventLog());
       callers.put(name, caller);
       follow(caller, URGENT, PROMPT);
       follow(caller, ENDPOINTS, PROMPT);
@@ -206,7 +206,7 @@
             wait,
             time.loop(),
             time,
-            new SilentEventLog(),
+            new RecordingEventLog(),
             listener);
     caller.onRegained(follower::readNow);
     follower.start();
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/relay/RelayingHttpCallerTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/relay/RelayingHttpCallerTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.hawthornlb.gateway.SilentEventLog;
+import io.hawthornlb.gateway.RecordingEventLog;
 import io.hawthornlb.gateway.VirtualLoop;
 import io.hawthornlb.gateway.http.HttpCall;
 import io.hawthornlb.gateway.http.HttpCallException;
@@ -37,7 +37,7 @@
           (peer, target, call) -> way(peer.name(), byPeer),
           () -> List.of(peer("a1"), peer("a2"), peer("a3")),
           time,
-          new SilentEventLog());
+          new RecordingEventLog());
 
   /**
    * A caller's job is refused at a third of the gateways for seconds. The store turned these
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/relay/TcpRelayTransportTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/relay/TcpRelayTransportTest.java
@@ -7,7 +7,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.hawthornlb.gateway.SilentEventLog;
+import io.hawthornlb.gateway.RecordingEventLog;
 import io.hawthornlb.gateway.http.HttpCall;
 import io.hawthornlb.gateway.http.HttpCallException;
 import io.hawthornlb.gateway.http.HttpCaller;
@@ -145,7 +145,7 @@
 
   private GatewayInstance serve(HttpCaller caller, boolean away) throws IOException {
     int port = freePort();
-    new RelayServer(caller, () -> store, () -> away, new SilentEventLog())
+    new RelayServer(caller, () -> store, () -> away, new RecordingEventLog())
         .bind(
             loop,
             new InetSocketAddress("127.0.0.1", port),
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/store/KeyedFollowerTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/store/KeyedFollowerTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.hawthornlb.gateway.SilentEventLog;
+import io.hawthornlb.gateway.RecordingEventLog;
 import io.hawthornlb.gateway.VirtualLoop;
 import io.hawthornlb.gateway.store.LogStore.AppendCall;
 import io.hawthornlb.gateway.store.LogStore.KeyedRecord;
@@ -32,7 +32,7 @@
 
   private final VirtualLoop time = new VirtualLoop();
   private final TroubledStore store = new TroubledStore(time);
-  private final SilentEventLog log = new SilentEventLog();
+  private final RecordingEventLog log = new RecordingEventLog();
   private final Heard heard = new Heard();
 
   /** Log that is away, or has forgotten its history, as the test says. */
