--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/front/AnswerRelay.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/front/AnswerRelay.java
@@ -240,7 +240,7 @@
   private void endEvents(HttpResponse answer) {
     boolean framed =
         HttpUtil.isContentLengthSet(answer) || HttpUtil.isTransferEncodingChunked(answer);
-    if (splitter.torn() || (!framed && lastEventId < 0)) {
+    if (splitter.hasPartialEvent() || (!framed && lastEventId < 0)) {
       forwarding.onFailed(true, "the stream ended inside an event");
       return;
     }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/ItemRun.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/ItemRun.java
@@ -350,7 +350,7 @@
         excluded.add(life);
         end(status == 421 ? SlotOutcome.REPLACED : SlotOutcome.SHED);
         again(PAUSE);
-      } else if (status == 200 && proven && !splitter.torn()) {
+      } else if (status == 200 && proven && !splitter.hasPartialEvent()) {
         completed();
       } else if (status == 200) {
         onFailure(true, "the answer is torn or bears no proof");
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/wire/EventSplitter.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/wire/EventSplitter.java
@@ -56,7 +56,7 @@
   }
 
   /** Returns whether part of an event was received without its end. */
-  public boolean torn() {
+  public boolean hasPartialEvent() {
     return partial.size() > 0;
   }
 
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/wire/EventSplitterTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/wire/EventSplitterTest.java
@@ -37,7 +37,7 @@
     }
     assertEquals(List.of(1L, 2L, 3L), events.stream().map(StreamEvent::id).toList());
     assertEquals(List.of("a", "b\nc", "d"), events.stream().map(EventSplitter::data).toList());
-    assertFalse(fresh.torn());
+    assertFalse(fresh.hasPartialEvent());
   }
 
   /**
@@ -48,7 +48,7 @@
   void holdsBackAPartialEvent() {
     List<StreamEvent> events = splitter.feed(text("id: 1\ndata: a\n\nid: 2\ndat"));
     assertEquals(1, events.size());
-    assertTrue(splitter.torn());
+    assertTrue(splitter.hasPartialEvent());
     splitter.reset();
     assertEquals("b", EventSplitter.data(splitter.feed(text("id: 2\ndata: b\n\n")).get(0)));
   }
