--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/front/DeferredHandling.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/front/DeferredHandling.java
@@ -53,7 +53,7 @@
       started.onShutdown();
     } else if (!ended) {
       ended = true;
-      responder.own(503, retry);
+      responder.sendStatus(503, retry);
     }
   }
 }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/front/Forwarding.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/front/Forwarding.java
@@ -362,8 +362,8 @@
         .with("retryMillis", retryAfter.toMillis())
         .write();
     switch (step) {
-      case REFUSE -> responder.own(503, retryAfter);
-      case FAIL -> responder.own(502, null);
+      case REFUSE -> responder.sendStatus(503, retryAfter);
+      case FAIL -> responder.sendStatus(502, null);
       default -> responder.breakOff();
     }
     finish(SlotOutcome.ABANDONED);
@@ -379,7 +379,7 @@
     if (relay.headSent()) {
       responder.breakOff();
     } else {
-      responder.own(sent || runs > 0 ? 504 : 503, sent || runs > 0 ? null : REJECTED_RETRY);
+      responder.sendStatus(sent || runs > 0 ? 504 : 503, sent || runs > 0 ? null : REJECTED_RETRY);
     }
     finish(abandonedOutcome());
   }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/front/ForwardingHandler.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/front/ForwardingHandler.java
@@ -109,7 +109,7 @@
 
   private Handling forward(Route route, FrontRequest request, Responder responder) {
     if (request.headers().get(parts.names().requestId()) == null) {
-      responder.own(400, null);
+      responder.sendStatus(400, null);
       return COMPLETED;
     }
     Forwarding forwarding = new Forwarding(parts, route, request, responder);
@@ -149,7 +149,7 @@
       String cause,
       @Nullable Duration retry) {
     logRefused(request, status, cause);
-    responder.own(status, retry);
+    responder.sendStatus(status, retry);
     return COMPLETED;
   }
 
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/front/FrontConnection.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/front/FrontConnection.java
@@ -434,7 +434,7 @@
       if (headSent) {
         breakOff();
       } else {
-        own(502, null);
+        sendStatus(502, null);
       }
     }
 
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/front/Responder.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/front/Responder.java
@@ -22,7 +22,7 @@
    * Sends a response that the gateway itself creates, without a body. Includes Retry-After if a
    * time is given.
    */
-  default void own(int status, @Nullable Duration retryAfter) {
+  default void sendStatus(int status, @Nullable Duration retryAfter) {
     HttpHeaders headers = new DefaultHttpHeaders();
     if (retryAfter != null) {
       headers.set(HttpHeaderNames.RETRY_AFTER, seconds(retryAfter));
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/JobDesk.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/JobDesk.java
@@ -137,11 +137,11 @@
       call = format.call(request);
     } catch (IllegalArgumentException e) {
       log.important("job", "call.unreadable").with("cause", e.getMessage()).write();
-      responder.own(400, null);
+      responder.sendStatus(400, null);
       return Optional.empty();
     }
     if (call.isEmpty()) {
-      responder.own(404, null);
+      responder.sendStatus(404, null);
     }
     return call;
   }
@@ -272,7 +272,7 @@
           .with("status", 503)
           .with("cause", "no holder is known")
           .write();
-      responder.own(503, NO_HOLDER_RETRY);
+      responder.sendStatus(503, NO_HOLDER_RETRY);
     }
 
     private boolean mayAsk(String name) {
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/JobService.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/JobService.java
@@ -83,7 +83,7 @@
     JobReplica replica = replicas.of(submit.jobId());
     if (replica.table().find(submit.jobId()).isPresent()) {
       logged("job.known", submit.jobId(), 202);
-      responder.own(202, null);
+      responder.sendStatus(202, null);
       return;
     }
     Job job = new Job(submit.jobId(), request.host(), clock.instant(), submit.items());
@@ -130,7 +130,7 @@
             (done, failure) -> {
               if (failure == null) {
                 logged("job.written", write.jobId(), write.status());
-                write.responder().own(write.status(), null);
+                write.responder().sendStatus(write.status(), null);
               } else {
                 appendFailed(failure, write, began);
               }
@@ -178,7 +178,7 @@
         .with("status", status)
         .with("millis", write.millis(clock.instant()))
         .write();
-    write.responder().own(status, retryAfter);
+    write.responder().sendStatus(status, retryAfter);
   }
 
   private void read(JobCall.Read read, Instant arrived, Responder responder) {
@@ -261,7 +261,7 @@
               }
               if (failure != null) {
                 logged("job.unsure", wait.job().id(), 503);
-                wait.responder().own(503, STORE_RETRY);
+                wait.responder().sendStatus(503, STORE_RETRY);
               } else {
                 readOn(wait);
               }
@@ -304,7 +304,7 @@
   private void sendBody(Job job, String itemId, Responder responder) {
     Optional<JobItem> item = job.item(itemId);
     if (item.isEmpty() || job.listed(itemId) || job.ended()) {
-      responder.own(404, null);
+      responder.sendStatus(404, null);
     } else {
       responder.whole(200, new DefaultHttpHeaders(), item.get().body());
     }
@@ -326,10 +326,10 @@
             action.accept(found.get());
           } else if (failure != null || replica.table().unsure(jobId)) {
             logged("job.unsure", jobId, 503);
-            responder.own(503, STORE_RETRY);
+            responder.sendStatus(503, STORE_RETRY);
           } else {
             logged("job.unknown", jobId, 404);
-            responder.own(404, null);
+            responder.sendStatus(404, null);
           }
         },
         executor);
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/UnknownOutcomeResponder.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/UnknownOutcomeResponder.java
@@ -29,11 +29,11 @@
   }
 
   @Override
-  public void own(int status, @Nullable Duration retryAfter) {
+  public void sendStatus(int status, @Nullable Duration retryAfter) {
     if (NotRunStatuses.contains(status)) {
-      caller.own(FAILED, null);
+      caller.sendStatus(FAILED, null);
     } else {
-      caller.own(status, retryAfter);
+      caller.sendStatus(status, retryAfter);
     }
   }
 
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/job/RecordingResponder.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/job/RecordingResponder.java
@@ -36,7 +36,7 @@
   }
 
   @Override
-  public void own(int code, @Nullable Duration after) {
+  public void sendStatus(int code, @Nullable Duration after) {
     status = code;
     retryAfter = after;
   }
