--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/http/HttpCallException.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/http/HttpCallException.java
@@ -9,7 +9,7 @@
   private static final long serialVersionUID = 1L;
 
   private final boolean unsent;
-  private final boolean cut;
+  private final boolean closedWithoutReply;
 
   /**
    * Creates an exception.
@@ -20,10 +20,10 @@
     this(message, unsent, false);
   }
 
-  private HttpCallException(String message, boolean unsent, boolean cut) {
+  private HttpCallException(String message, boolean unsent, boolean closedWithoutReply) {
     super(message);
     this.unsent = unsent;
-    this.cut = cut;
+    this.closedWithoutReply = closedWithoutReply;
   }
 
   /** Creates an exception for a call that was sent and whose connection closed without a reply. */
@@ -39,7 +39,7 @@
   /**
    * Returns whether the connection closed after the call was sent; a new connection may still work.
    */
-  public boolean cut() {
-    return cut;
+  public boolean closedWithoutReply() {
+    return closedWithoutReply;
   }
 }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/relay/RelayingHttpCaller.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/relay/RelayingHttpCaller.java
@@ -114,9 +114,9 @@
     return cause instanceof HttpCallException call && call.unsent();
   }
 
-  private static boolean cut(@Nullable Throwable failure) {
+  private static boolean closedWithoutReply(@Nullable Throwable failure) {
     Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
-    return cause instanceof HttpCallException call && call.cut();
+    return cause instanceof HttpCallException call && call.closedWithoutReply();
   }
 
   private static String cause(@Nullable HttpReply reply, @Nullable Throwable failure) {
@@ -150,7 +150,7 @@
           .call(call)
           .whenComplete(
               (reply, failure) -> {
-                if (cut(failure) && repeatable(call)) {
+                if (closedWithoutReply(failure) && repeatable(call)) {
                   log.routine("relay", "read.cut").with("path", call.path()).write();
                   callDirectlyAgain(began);
                 } else {
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/http/NettyHttpCallerTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/http/NettyHttpCallerTest.java
@@ -58,8 +58,8 @@
    */
   @Test
   void distinguishesAClosedConnectionFromASilentOne() throws Exception {
-    assertEquals(true, failureOf(Duration.ofSeconds(10), true).cut());
-    assertEquals(false, failureOf(Duration.ofMillis(100), false).cut());
+    assertEquals(true, failureOf(Duration.ofSeconds(10), true).closedWithoutReply());
+    assertEquals(false, failureOf(Duration.ofMillis(100), false).closedWithoutReply());
   }
 
   /**
