--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/endpoint/EndpointDirectory.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/endpoint/EndpointDirectory.java
@@ -57,7 +57,7 @@
 
   /** Adds or updates an entry, unless a former incarnation of the endpoint wrote it. */
   public void put(EndpointRecord entry) {
-    if (former(entry.life())) {
+    if (isSuperseded(entry.life())) {
       return;
     }
     expiring.remove(entry.id());
@@ -132,7 +132,7 @@
   }
 
   /** Returns whether a later incarnation of the endpoint is known. */
-  public boolean former(EndpointIncarnation life) {
+  public boolean isSuperseded(EndpointIncarnation life) {
     Long start = starts.get(life.id());
     return start != null && life.born() < start;
   }
@@ -154,7 +154,7 @@
   }
 
   /** Adds a listener that is called once for each restart of a known endpoint. */
-  public void onNewLife(Consumer<EndpointIncarnation> listener) {
+  public void onRestart(Consumer<EndpointIncarnation> listener) {
     restartListeners.add(listener);
   }
 
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/process/EndpointSource.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/process/EndpointSource.java
@@ -90,7 +90,7 @@
   }
 
   private void put(EndpointRecord entry) {
-    if (directory.former(entry.life())) {
+    if (directory.isSuperseded(entry.life())) {
       log.important("endpoint", "entry.late")
           .with("endpoint", entry.id())
           .with("born", entry.born())
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/process/GatewayProcess.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/process/GatewayProcess.java
@@ -101,7 +101,7 @@
     FleetSlotClient slots = new FleetSlotClient(fleet, transport, directory, loop, clock, log);
     EndpointPool pool = new EndpointPool(loop, names, clock, metrics);
     directory.onRemoval(endpoint -> pool.forget(endpoint.life()));
-    directory.onNewLife(pool::onRestart);
+    directory.onRestart(pool::onRestart);
     endpoints = new EndpointSource(formats, directory, loop, clock, log);
     instances = new InstanceSource(fleet, store, loop, clock, log);
     jobs =
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/support/DefaultSlotCoordinator.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/support/DefaultSlotCoordinator.java
@@ -69,7 +69,7 @@
     this.lateItems = new LateItems(leases, waiting);
     this.search =
         new SlotSearch(service, directory, settings, leases, penalties, outliers, foreign);
-    directory.onNewLife(this::begun);
+    directory.onRestart(this::begun);
   }
 
   @Override
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/support/SlotLeases.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/support/SlotLeases.java
@@ -38,7 +38,7 @@
 
   /** Returns whether a use is one of the endpoint's present life, or of one not told of yet. */
   boolean counts(SlotLease lease) {
-    return !directory.former(lease.life());
+    return !directory.isSuperseded(lease.life());
   }
 
   /** Takes a use, in place of the one under its key. */
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/endpoint/EndpointDirectoryTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/endpoint/EndpointDirectoryTest.java
@@ -100,7 +100,7 @@
   @Test
   void notifiesOnceOfEachNewIncarnation() {
     List<EndpointIncarnation> restarted = new ArrayList<>();
-    directory.onNewLife(restarted::add);
+    directory.onRestart(restarted::add);
     directory.put(started(1));
     directory.put(started(1));
     directory.put(started(3));
@@ -110,7 +110,7 @@
     directory.put(started(4));
     assertEquals(
         List.of(new EndpointIncarnation("e1", 3), new EndpointIncarnation("e1", 4)), restarted);
-    assertTrue(directory.former(new EndpointIncarnation("e1", 3)));
+    assertTrue(directory.isSuperseded(new EndpointIncarnation("e1", 3)));
     assertFalse(directory.isNewerThanKnown(new EndpointIncarnation("e1", 4)));
     assertTrue(directory.isNewerThanKnown(new EndpointIncarnation("e1", 5)));
     assertFalse(directory.isNewerThanKnown(new EndpointIncarnation("e2", 5)));
