--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/VirtualLoop.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/VirtualLoop.java
@@ -42,7 +42,7 @@
    * Advances the time in one step, as if the loop had been paused, and then runs the tasks that are
    * due.
    */
-  public void standStill(Duration time) {
+  public void advanceInOneStep(Duration time) {
     now = now.plus(time);
     channel.advanceTimeBy(time.toMillis(), TimeUnit.MILLISECONDS);
     channel.runScheduledPendingTasks();
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/job/JobAgesTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/job/JobAgesTest.java
@@ -23,9 +23,9 @@
   void countsFromWhenThisProcessKnewTheJob() {
     Job job = job(Duration.ofMinutes(5));
     ages.note(List.of(job));
-    time.standStill(KEPT);
+    time.advanceInOneStep(KEPT);
     assertFalse(ages.olderThan(job, KEPT));
-    time.standStill(Duration.ofMillis(1));
+    time.advanceInOneStep(Duration.ofMillis(1));
     assertTrue(ages.olderThan(job, KEPT));
   }
 
@@ -33,7 +33,7 @@
   void takesAJobFromTheFutureForOneOfNow() {
     Job job = job(Duration.ofMinutes(-5));
     ages.note(List.of(job));
-    time.standStill(KEPT.plusMillis(1));
+    time.advanceInOneStep(KEPT.plusMillis(1));
     assertTrue(ages.olderThan(job, KEPT));
   }
 
@@ -41,7 +41,7 @@
   void forgetsJobsThatAreGone() {
     Job job = job(Duration.ZERO);
     ages.note(List.of(job));
-    time.standStill(KEPT.plusMillis(1));
+    time.advanceInOneStep(KEPT.plusMillis(1));
     ages.note(List.of());
     assertFalse(ages.olderThan(job, KEPT));
   }
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/wire/SilenceWatchTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/wire/SilenceWatchTest.java
@@ -56,7 +56,7 @@
   void doesNotCountItsOwnPauseAsSilence() {
     watch.start();
     time.advance(Duration.ofMillis(100));
-    time.standStill(Duration.ofMillis(2_500));
+    time.advanceInOneStep(Duration.ofMillis(2_500));
     assertEquals(List.of(), notifications);
     lastHeard = time.instant();
     time.advance(Duration.ofMillis(399));
@@ -71,7 +71,7 @@
   @Test
   void detectsASilentEndpointAfterAPause() {
     watch.start();
-    time.standStill(Duration.ofMillis(2_500));
+    time.advanceInOneStep(Duration.ofMillis(2_500));
     time.advance(Duration.ofMillis(1_001));
     assertEquals(List.of("suspicious", "stalled"), notifications);
     assertTrue(watch.stalled());
