--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/endpoint/EndpointDirectory.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/endpoint/EndpointDirectory.java
@@ -132,15 +132,15 @@
   }
 
   /** Returns whether a later incarnation of the endpoint is known. */
-  public boolean isSuperseded(EndpointIncarnation life) {
-    Long start = starts.get(life.id());
-    return start != null && life.born() < start;
+  public boolean isSuperseded(EndpointIncarnation incarnation) {
+    Long start = starts.get(incarnation.id());
+    return start != null && incarnation.born() < start;
   }
 
   /** Returns whether the directory knows only an earlier incarnation of the endpoint. */
-  public boolean isNewerThanKnown(EndpointIncarnation life) {
-    Long start = starts.get(life.id());
-    return start != null && start < life.born();
+  public boolean isNewerThanKnown(EndpointIncarnation incarnation) {
+    Long start = starts.get(incarnation.id());
+    return start != null && start < incarnation.born();
   }
 
   /** Returns the number of entries. */
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/endpoint/EndpointIncarnation.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/endpoint/EndpointIncarnation.java
@@ -33,7 +33,9 @@
   // run time, which takes some milliseconds.
   @Override
   public boolean equals(Object other) {
-    return other instanceof EndpointIncarnation life && born == life.born && id.equals(life.id);
+    return other instanceof EndpointIncarnation incarnation
+        && born == incarnation.born
+        && id.equals(incarnation.id);
   }
 
   @Override
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/front/AnswerRelay.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/front/AnswerRelay.java
@@ -43,7 +43,7 @@
   private long lastEventId = -1;
   private boolean eventSeen;
   private Instant lastHeard;
-  private @Nullable Instant firstPassed;
+  private @Nullable Instant firstForwarded;
 
   /** How the relay treats the current endpoint's response. */
   private enum Mode {
@@ -88,8 +88,8 @@
   }
 
   /** Returns when the first part of the response was forwarded; the current time if none was. */
-  Instant firstPassed() {
-    return firstPassed == null ? clock.instant() : firstPassed;
+  Instant firstForwarded() {
+    return firstForwarded == null ? clock.instant() : firstForwarded;
   }
 
   boolean headSent() {
@@ -253,7 +253,7 @@
     HttpResponse answer = response;
     if (!headSent && answer != null) {
       headSent = true;
-      firstPassed = clock.instant();
+      firstForwarded = clock.instant();
       HttpHeaders headers = ForwardedHeaders.toCaller(answer.headers());
       if (streaming) {
         headers.remove(HttpHeaderNames.CONTENT_LENGTH);
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/front/Forwarding.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/front/Forwarding.java
@@ -67,7 +67,7 @@
   private @Nullable SlotKey slot;
   private @Nullable EndpointCall call;
   private @Nullable EndpointIncarnation endpoint;
-  private Instant asked = Instant.MIN;
+  private Instant requestedAt = Instant.MIN;
   private int runs;
   private int rejections;
   private boolean done;
@@ -91,7 +91,7 @@
 
   void start() {
     long millis = Math.max(0, time.left().toMillis());
-    timer = parts.executor().schedule(this::outOfTime, millis, TimeUnit.MILLISECONDS);
+    timer = parts.executor().schedule(this::onTimeout, millis, TimeUnit.MILLISECONDS);
     acquire();
   }
 
@@ -128,7 +128,7 @@
 
   /**
    * Called when a response reports the endpoint's load. Reports the load to the coordinator only if
-   * requests wait at the endpoint; any other load is not worth a message.
+   * requests wait at the endpoint; any other load does not justify a message.
    */
   void onLoadReported(ReportedLoad load) {
     SlotKey held = slot;
@@ -183,7 +183,7 @@
 
   /** Called when the complete response was passed to the caller's connection. */
   void onAnswered(int status) {
-    Duration first = Duration.between(request.arrived(), relay.firstPassed());
+    Duration first = Duration.between(request.arrived(), relay.firstForwarded());
     parts.metrics().count("requests.answered", route.name());
     parts.metrics().time("requests.first", route.name(), first);
     parts.metrics().time("requests.whole", route.name(), Duration.ofMillis(time.sinceArrival()));
@@ -203,7 +203,7 @@
     Duration maxWait = time.maxWait(relay.headSent() || runs > 0, rejections > 0);
     SlotKey key = parts.slots().nextKey();
     slot = key;
-    asked = parts.clock().instant();
+    requestedAt = parts.clock().instant();
     SlotRequest wanted =
         new SlotRequest(
             key,
@@ -243,25 +243,25 @@
       send(granted.life());
     } else if (answer instanceof SlotAnswer.Refused refused) {
       slot = null;
-      noSlot(refused);
+      logNoSlot(refused);
       end(AttemptRules.finalStep(state()), refused.retryAfter(), "no slot within the longest wait");
     }
   }
 
   /** Logs the slot counts the coordinator reported and the time since the slot was requested. */
-  private void noSlot(SlotAnswer.Refused refused) {
+  private void logNoSlot(SlotAnswer.Refused refused) {
     line("slot.refused")
         .with("slots", refused.seen().slots())
         .with("used", refused.seen().used())
         .with("waiting", refused.seen().waiting())
         .with("excluded", excluded.size())
-        .with("askedMillisAgo", Duration.between(asked, parts.clock().instant()).toMillis())
+        .with("askedMillisAgo", Duration.between(requestedAt, parts.clock().instant()).toMillis())
         .write();
   }
 
-  private void send(EndpointIncarnation life) {
-    endpoint = life;
-    Optional<EndpointRecord> target = parts.directory().find(life.id());
+  private void send(EndpointIncarnation incarnation) {
+    endpoint = incarnation;
+    Optional<EndpointRecord> target = parts.directory().find(incarnation.id());
     if (target.isEmpty() || target.get().leaving()) {
       // The coordinator's list of endpoints is older than that of this process.
       rejections++;
@@ -275,11 +275,14 @@
         .routine("front", "request.sent")
         .with("id", id)
         .with("route", route.name())
-        .with("endpoint", life.id())
+        .with("endpoint", incarnation.id())
         .with("runs", runs)
         .with("millis", time.sinceArrival())
         .write();
-    call = parts.pool().send(life, target.get().address(), outgoing(life.id()), relay);
+    call =
+        parts
+            .pool()
+            .send(incarnation, target.get().address(), endpointRequest(incarnation.id()), relay);
     watch.start();
   }
 
@@ -322,7 +325,7 @@
     return endpoint == null ? null : endpoint.id();
   }
 
-  private FullHttpRequest outgoing(String endpointId) {
+  private FullHttpRequest endpointRequest(String endpointId) {
     HttpHeaders headers = ForwardedHeaders.toEndpoint(request.headers(), parts.names());
     headers.set(parts.names().remainingMillis(), Math.max(1, time.left().toMillis()));
     headers.set(parts.names().expectedEndpoint(), endpointId);
@@ -369,7 +372,7 @@
     finish(SlotOutcome.ABANDONED);
   }
 
-  private void outOfTime() {
+  private void onTimeout() {
     if (done) {
       return;
     }
@@ -401,8 +404,8 @@
       timer.cancel(false);
     }
     watch.stop();
-    boolean whole = outcome == SlotOutcome.ANSWERED || outcome == SlotOutcome.ERROR;
-    if (call != null && !whole) {
+    boolean complete = outcome == SlotOutcome.ANSWERED || outcome == SlotOutcome.ERROR;
+    if (call != null && !complete) {
       call.abort();
     }
     call = null;
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/peer/FleetSlotClient.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/peer/FleetSlotClient.java
@@ -48,7 +48,7 @@
   private static final int ATTEMPTS_PER_INSTANCE = 2;
 
   /** Number of other processes that are asked before this one decides alone. */
-  private static final int INSTANCES_ASKED = 2;
+  private static final int MAX_INSTANCES_ASKED = 2;
 
   /** Time beyond the longest wait after which a missing answer counts as a refusal. */
   private static final Duration ANSWER_MARGIN = Duration.ofMillis(60);
@@ -68,7 +68,7 @@
   private final Map<SlotKey, Pending> pending = new HashMap<>();
 
   /** Names of the last known coordinators by service. */
-  private final Map<String, String> lastAsked = new HashMap<>();
+  private final Map<String, String> lastCoordinators = new HashMap<>();
 
   /**
    * Names of the processes by boot id; answers to a holder are sent to the process with that name.
@@ -106,7 +106,7 @@
   public void acquire(SlotRequest request, Listener listener) {
     Pending asked = new Pending(request, listener);
     pending.put(request.key(), asked);
-    asked.askNext();
+    asked.askNextCandidate();
     scheduleRenewal();
   }
 
@@ -117,13 +117,13 @@
       return;
     }
     ended.stopTimer();
-    SlotOutcome told = ended.reportedOutcome(outcome);
+    SlotOutcome reported = ended.reportedOutcome(outcome);
     GatewayInstance coordinator = ended.coordinator;
     String service = ended.request.service();
     if (coordinator.equals(fleet.self())) {
-      deliver(local(service).release(key, told, clock.instant()));
+      deliver(local(service).release(key, reported, clock.instant()));
     } else {
-      transport.send(coordinator, new PeerMessage.Release(service, key, told));
+      transport.send(coordinator, new PeerMessage.Release(service, key, reported));
     }
   }
 
@@ -299,7 +299,7 @@
    * coordinator therefore sends its uses first, and then repeats all requests that wait.
    */
   private void switchCoordinator(GatewayInstance coordinator, String service) {
-    String former = lastAsked.put(service, coordinator.name());
+    String former = lastCoordinators.put(service, coordinator.name());
     if (former == null || former.equals(coordinator.name())) {
       return;
     }
@@ -339,9 +339,9 @@
       this.listener = listener;
     }
 
-    private void askNext() {
+    private void askNextCandidate() {
       List<GatewayInstance> ranked = fleet.ranked(request.service(), clock.instant());
-      boolean alone = asked >= INSTANCES_ASKED || ranked.isEmpty();
+      boolean alone = asked >= MAX_INSTANCES_ASKED || ranked.isEmpty();
       coordinator = alone ? fleet.self() : ranked.get(0);
       asked++;
       attempts = 0;
@@ -362,7 +362,7 @@
       stopTimer();
       queued = false;
       asked = 0;
-      askNext();
+      askNextCandidate();
     }
 
     private void ask() {
@@ -389,7 +389,7 @@
           .with("service", request.service())
           .with("instance", coordinator.name())
           .write();
-      askNext();
+      askNextCandidate();
     }
 
     private void answered(SlotAnswer answer) {
@@ -408,10 +408,10 @@
         // that this process's list has, or it has restarted since.
         EndpointIncarnation listed =
             directory.find(grant.endpoint()).map(EndpointRecord::life).orElse(grant.life());
-        EndpointIncarnation life = listed.follows(grant.life()) ? listed : grant.life();
-        endpoint = life;
+        EndpointIncarnation incarnation = listed.follows(grant.life()) ? listed : grant.life();
+        endpoint = incarnation;
         grantedAt = clock.instant();
-        listener.onAnswer(new SlotAnswer.Granted(request.key(), life));
+        listener.onAnswer(new SlotAnswer.Granted(request.key(), incarnation));
       } else {
         pending.remove(request.key());
         listener.onAnswer(answer);
@@ -433,11 +433,11 @@
       return notThere && behind ? SlotOutcome.ABANDONED : outcome;
     }
 
-    private SlotUse use(EndpointIncarnation life, Instant now) {
+    private SlotUse use(EndpointIncarnation incarnation, Instant now) {
       Duration left = request.work().minus(Duration.between(grantedAt, now));
       return new SlotUse(
           request.key().number(),
-          life,
+          incarnation,
           request.batch(),
           request.rank(),
           left.isNegative() ? Duration.ZERO : left);
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/peer/FleetView.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/peer/FleetView.java
@@ -17,9 +17,9 @@
  * unresponsive.
  *
  * <p>The list of instances may still name a process that is killed, frozen or partitioned from the
- * network, and datagrams to that process get no answer. The view excludes a process that did not
- * answer for a time that doubles with each missing answer, until a datagram from that process
- * arrives.
+ * network, and datagrams to that process get no answer. When a process does not answer, the view
+ * excludes it from the orders. The exclusion doubles with each missing answer, and ends early when
+ * a datagram from that process arrives.
  */
 public final class FleetView {
 
@@ -151,7 +151,7 @@
    * Returns the responsive processes in the order in which they serve a key.
    *
    * <p>The coordinator of a busy service decides for all requests of that service. A small instance
-   * cannot do that beside its own requests, so larger instances come first.
+   * cannot do that in addition to its own requests, so larger instances come first.
    */
   public List<GatewayInstance> ranked(String key, Instant now) {
     List<GatewayInstance> order = order(key);
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/peer/PeerCodec.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/peer/PeerCodec.java
@@ -110,15 +110,15 @@
     packer.packLong(request.patience().toMillis());
     packer.packLong(request.fingerprint());
     packer.packArrayHeader(request.excluded().size());
-    for (EndpointIncarnation life : request.excluded()) {
-      packLife(packer, life);
+    for (EndpointIncarnation incarnation : request.excluded()) {
+      packIncarnation(packer, incarnation);
     }
   }
 
   private static void packAnswer(MessageBufferPacker packer, SlotAnswer answer) throws IOException {
     if (answer instanceof SlotAnswer.Granted granted) {
       packKey(packer.packInt(GRANTED), answer.key());
-      packLife(packer, granted.life());
+      packIncarnation(packer, granted.life());
     } else if (answer instanceof SlotAnswer.Waiting waiting) {
       packKey(packer.packInt(WAITING), answer.key());
       packer.packLong(waiting.atMost().toMillis());
@@ -136,7 +136,7 @@
     packer.packString(renew.service()).packString(renew.holder());
     packer.packArrayHeader(renew.uses().size());
     for (SlotUse use : renew.uses()) {
-      packLife(packer.packLong(use.number()), use.life());
+      packIncarnation(packer.packLong(use.number()), use.life());
       packer.packBoolean(use.batch()).packLong(use.rank()).packLong(use.work().toMillis());
     }
   }
@@ -145,8 +145,9 @@
     packer.packString(key.holder()).packLong(key.number());
   }
 
-  private static void packLife(MessagePacker packer, EndpointIncarnation life) throws IOException {
-    packer.packString(life.id()).packLong(life.born());
+  private static void packIncarnation(MessagePacker packer, EndpointIncarnation incarnation)
+      throws IOException {
+    packer.packString(incarnation.id()).packLong(incarnation.born());
   }
 
   private static PeerMessage unpack(MessageReader reader) throws IOException {
@@ -154,7 +155,8 @@
     return switch (type) {
       case ASK -> new PeerMessage.Ask(unpackRequest(reader));
       case GRANTED ->
-          new PeerMessage.Answer(new SlotAnswer.Granted(unpackKey(reader), unpackLife(reader)));
+          new PeerMessage.Answer(
+              new SlotAnswer.Granted(unpackKey(reader), unpackIncarnation(reader)));
       case WAITING ->
           new PeerMessage.Answer(
               new SlotAnswer.Waiting(unpackKey(reader), reader.millis("atMost", MAX_TIME)));
@@ -219,7 +221,7 @@
     Set<EndpointIncarnation> excluded = new HashSet<>();
     int size = reader.listSize();
     for (int i = 0; i < size; i++) {
-      excluded.add(unpackLife(reader));
+      excluded.add(unpackIncarnation(reader));
     }
     return new SlotRequest(
         key, service, batch, rank, work, dataCentre, maxWait, patience, fingerprint, excluded);
@@ -232,15 +234,15 @@
     int size = reader.listSize();
     for (int i = 0; i < size; i++) {
       long number = reader.number();
-      EndpointIncarnation life = unpackLife(reader);
+      EndpointIncarnation incarnation = unpackIncarnation(reader);
       boolean batch = reader.flag();
       long rank = reader.number();
-      uses.add(new SlotUse(number, life, batch, rank, reader.millis("work", MAX_TIME)));
+      uses.add(new SlotUse(number, incarnation, batch, rank, reader.millis("work", MAX_TIME)));
     }
     return new PeerMessage.Renew(service, holder, uses);
   }
 
-  private static EndpointIncarnation unpackLife(MessageReader reader) throws IOException {
+  private static EndpointIncarnation unpackIncarnation(MessageReader reader) throws IOException {
     return new EndpointIncarnation(reader.text(), reader.number());
   }
 
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/wire/EndpointHandler.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/wire/EndpointHandler.java
@@ -63,21 +63,21 @@
   private long startNanos;
   private Duration idleTime = DEFAULT_IDLE;
   private Instant opened = Instant.MAX;
-  private @Nullable EndpointIncarnation life;
+  private @Nullable EndpointIncarnation incarnation;
 
   EndpointHandler(ConnectionCounts counts) {
     this.counts = counts;
   }
 
   void opened(EndpointIncarnation endpoint, Instant when) {
-    life = endpoint;
+    incarnation = endpoint;
     opened = when;
   }
 
   /** Records the reason why the connection is being closed; only the first reason counts. */
   void recordEnd(ConnectionEnd end) {
-    EndpointIncarnation endpoint = life;
-    life = null;
+    EndpointIncarnation endpoint = incarnation;
+    incarnation = null;
     if (endpoint == null) {
       return;
     }
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/peer/FleetViewTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/peer/FleetViewTest.java
@@ -69,7 +69,7 @@
   }
 
   /**
-   * Guards against computing the order of all processes anew for each request for a slot, which
+   * Guards against computing the order of all processes for each single request for a slot, which
    * makes each request more expensive in a large fleet than in a small one.
    */
   @Test
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/wire/ConnectionCountsTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/wire/ConnectionCountsTest.java
@@ -33,7 +33,7 @@
   private static final String LAST =
       "HTTP/1.1 200 OK\r\nTest-Id: {id}\r\nConnection: close\r\nContent-Length: 4\r\n\r\nbody";
 
-  private static final EndpointIncarnation LIFE = EndpointIncarnation.ofUnknownStart("e0");
+  private static final EndpointIncarnation INCARNATION = EndpointIncarnation.ofUnknownStart("e0");
 
   private final EventLoop loop =
       (EventLoop) new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
@@ -52,10 +52,10 @@
   @Test
   void keepsNoCountsOfAnEndpointThatHasLeft() {
     ConnectionCounts counts = new ConnectionCounts(metrics);
-    counts.opened(LIFE);
-    counts.forget(LIFE);
-    counts.closed(LIFE, ConnectionEnd.ENDPOINT_GONE);
-    counts.opened(LIFE);
+    counts.opened(INCARNATION);
+    counts.forget(INCARNATION);
+    counts.closed(INCARNATION, ConnectionEnd.ENDPOINT_GONE);
+    counts.opened(INCARNATION);
     assertTrue(text.write().contains("connections_opened_total{by=\"first\"} 2"), text.write());
   }
 
@@ -88,7 +88,7 @@
         new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, "/a");
     sent++;
     request.headers().set("Test-Id", "r" + sent).set("Content-Length", 0);
-    loop.execute(() -> pool.send(LIFE, endpoint.address(), request, new Ended(ended)));
+    loop.execute(() -> pool.send(INCARNATION, endpoint.address(), request, new Ended(ended)));
     ended.get(5, TimeUnit.SECONDS);
   }
 
