--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/support/DefaultSlotCoordinator.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/support/DefaultSlotCoordinator.java
@@ -1,7 +1,7 @@
 package io.hawthornlb.gateway.slot.support;
 
 import io.hawthornlb.gateway.endpoint.EndpointDirectory;
-import io.hawthornlb.gateway.endpoint.EndpointLife;
+import io.hawthornlb.gateway.endpoint.EndpointIncarnation;
 import io.hawthornlb.gateway.endpoint.EndpointRecord;
 import io.hawthornlb.gateway.slot.SlotAnswer;
 import io.hawthornlb.gateway.slot.SlotCoordinator;
@@ -9,7 +9,7 @@
 import io.hawthornlb.gateway.slot.SlotOutcome;
 import io.hawthornlb.gateway.slot.SlotRequest;
 import io.hawthornlb.gateway.slot.SlotUse;
-import io.hawthornlb.gateway.wire.ToldLoad;
+import io.hawthornlb.gateway.wire.ReportedLoad;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayList;
@@ -69,7 +69,7 @@
     this.lateItems = new LateItems(leases, waiting);
     this.search =
         new SlotSearch(service, directory, settings, leases, penalties, outliers, foreign);
-    directory.onNewLife(this::begun);
+    directory.onRestart(this::begun);
   }
 
   @Override
@@ -135,7 +135,7 @@
   }
 
   @Override
-  public void told(SlotKey key, ToldLoad load, Instant now) {
+  public void told(SlotKey key, ReportedLoad load, Instant now) {
     SlotLease lease = leases.find(key);
     if (lease != null && leases.counts(lease)) {
       foreign.told(lease.endpoint(), load, leases.used(lease.endpoint()), now);
@@ -343,7 +343,7 @@
   }
 
   /** Forgets what a former life of an endpoint has made untrue. */
-  private void begun(EndpointLife life) {
+  private void begun(EndpointIncarnation life) {
     penalties.forget(life.id());
     outliers.forget(life.id());
     foreign.forget(life.id());
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/SilentEventLog.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/RecordingEventLog.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import org.jspecify.annotations.Nullable;
 
-/** Event log that keeps the names of events. */
-public final class SilentEventLog implements EventLog {
+/** Event log that records only the names of events. */
+public final class RecordingEventLog implements EventLog {
 
   private final List<String> events = new ArrayList<>();
 
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/job/JobFixture.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/job/JobFixture.java
@@ -1,6 +1,6 @@
 package io.hawthornlb.gateway.job;
 
-import io.hawthornlb.gateway.SilentEventLog;
+import io.hawthornlb.gateway.RecordingEventLog;
 import io.hawthornlb.gateway.endpoint.EndpointDirectory;
 import io.hawthornlb.gateway.endpoint.EndpointRecord;
 import io.hawthornlb.gateway.front.FrontRequest;
@@ -19,7 +19,7 @@
 import io.hawthornlb.gateway.store.LogStore;
 import io.hawthornlb.gateway.wire.EndpointPool;
 import io.hawthornlb.gateway.wire.HeaderNames;
-import io.hawthornlb.gateway.wire.ToldLoad;
+import io.hawthornlb.gateway.wire.ReportedLoad;
 import io.netty.channel.EventLoop;
 import java.net.InetSocketAddress;
 import java.time.Duration;
@@ -90,7 +90,7 @@
         "a",
         loop,
         clock,
-        new SilentEventLog(),
+        new RecordingEventLog(),
         new GatewayMetrics());
   }
 
@@ -145,7 +145,7 @@
     public void suspect(SlotKey key) {}
 
     @Override
-    public void told(SlotKey key, ToldLoad load) {}
+    public void told(SlotKey key, ReportedLoad load) {}
 
     @Override
     public SlotKey nextKey() {
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/peer/PeerCodecTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/peer/PeerCodecTest.java
@@ -4,13 +4,13 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
 import io.hawthornlb.gateway.decode.UnreadableException;
-import io.hawthornlb.gateway.endpoint.EndpointLife;
+import io.hawthornlb.gateway.endpoint.EndpointIncarnation;
 import io.hawthornlb.gateway.slot.SlotAnswer;
 import io.hawthornlb.gateway.slot.SlotKey;
 import io.hawthornlb.gateway.slot.SlotOutcome;
 import io.hawthornlb.gateway.slot.SlotRequest;
 import io.hawthornlb.gateway.slot.SlotUse;
-import io.hawthornlb.gateway.wire.ToldLoad;
+import io.hawthornlb.gateway.wire.ReportedLoad;
 import java.time.Duration;
 import java.util.List;
 import java.util.Set;
@@ -35,7 +35,8 @@
                 Duration.ofMillis(150),
                 Duration.ofMillis(3_000),
                 99,
-                Set.of(new EndpointLife("e1", 7), EndpointLife.ofUnknownStart("e2")))),
+                Set.of(
+                    new EndpointIncarnation("e1", 7), EndpointIncarnation.ofUnknownStart("e2")))),
         new PeerMessage.Answer(new SlotAnswer.Granted(KEY, "e1")),
         new PeerMessage.Answer(new SlotAnswer.Waiting(KEY, Duration.ofMillis(150))),
         new PeerMessage.Answer(
@@ -43,20 +44,21 @@
         new PeerMessage.Answer(new SlotAnswer.Revoked(KEY)),
         new PeerMessage.Release("engine", KEY, SlotOutcome.FAILED),
         new PeerMessage.Suspect("engine", KEY),
-        new PeerMessage.Told("engine", KEY, new ToldLoad(8, 3)),
+        new PeerMessage.Told("engine", KEY, new ReportedLoad(8, 3)),
         new PeerMessage.Held(11, 7L << 40),
         new PeerMessage.Barred("engine", -7L << 50),
         new PeerMessage.Renew(
             "engine",
             "holder~1",
             List.of(
-                new SlotUse(1, EndpointLife.ofUnknownStart("e1"), true, 9, Duration.ofMillis(700)),
+                new SlotUse(
+                    1, EndpointIncarnation.ofUnknownStart("e1"), true, 9, Duration.ofMillis(700)),
                 new SlotUse(2, "e2", false, 0))));
   }
 
   @ParameterizedTest
   @MethodSource("messages")
-  void readsWhatItWrote(PeerMessage message) {
+  void decodesWhatItEncoded(PeerMessage message) {
     PeerCodec.Envelope envelope = new PeerCodec.Envelope("a1", message);
     assertEquals(envelope, PeerCodec.decode(PeerCodec.encode(envelope)));
   }
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/slot/support/DefaultSlotCoordinatorTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/slot/support/DefaultSlotCoordinatorTest.java
@@ -6,14 +6,14 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.hawthornlb.gateway.endpoint.EndpointLife;
+import io.hawthornlb.gateway.endpoint.EndpointIncarnation;
 import io.hawthornlb.gateway.endpoint.EndpointRecord;
 import io.hawthornlb.gateway.slot.SlotAnswer;
 import io.hawthornlb.gateway.slot.SlotKey;
 import io.hawthornlb.gateway.slot.SlotOutcome;
 import io.hawthornlb.gateway.slot.SlotRequest;
 import io.hawthornlb.gateway.slot.SlotUse;
-import io.hawthornlb.gateway.wire.ToldLoad;
+import io.hawthornlb.gateway.wire.ReportedLoad;
 import java.net.InetSocketAddress;
 import java.time.Duration;
 import java.util.ArrayList;
@@ -225,7 +225,7 @@
     fixture.endpoint("a1", "a", 8).endpoint("b1", "b", 8);
     SlotRequest first = fixture.online("a");
     assertEquals("a1", fixture.granted(first));
-    fixture.coordinator.told(first.key(), new ToldLoad(8, 2), fixture.now);
+    fixture.coordinator.told(first.key(), new ReportedLoad(8, 2), fixture.now);
     for (int i = 0; i < 8; i++) {
       assertEquals("b1", fixture.granted(fixture.online("a")));
     }
@@ -341,7 +341,7 @@
   }
 
   private void fail(String endpoint) {
-    Set<EndpointLife> others =
+    Set<EndpointIncarnation> others =
         Set.copyOf(
             fixture.directory.usable(CoordinatorFixture.SERVICE).stream()
                 .map(EndpointRecord::life)
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/wire/ConnectionCountsTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/wire/ConnectionCountsTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.hawthornlb.gateway.ScriptedEndpoint;
-import io.hawthornlb.gateway.endpoint.EndpointLife;
+import io.hawthornlb.gateway.endpoint.EndpointIncarnation;
 import io.hawthornlb.gateway.loop.WorkKind;
 import io.hawthornlb.gateway.metric.GatewayMetrics;
 import io.hawthornlb.gateway.metric.MetricsText;
@@ -33,7 +33,7 @@
   private static final String LAST =
       "HTTP/1.1 200 OK\r\nTest-Id: {id}\r\nConnection: close\r\nContent-Length: 4\r\n\r\nbody";
 
-  private static final EndpointLife LIFE = EndpointLife.ofUnknownStart("e0");
+  private static final EndpointIncarnation INCARNATION = EndpointIncarnation.ofUnknownStart("e0");
 
   private final EventLoop loop =
       (EventLoop) new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
@@ -48,20 +48,20 @@
     loop.shutdownGracefully(0, 0, TimeUnit.SECONDS);
   }
 
-  /** Guards against counts that grow with each endpoint that was ever there. */
+  /** Guards against counts that accumulate for endpoints that have left. */
   @Test
-  void keepsNothingOfAnEndpointThatWasForgotten() {
+  void keepsNoCountsOfAnEndpointThatHasLeft() {
     ConnectionCounts counts = new ConnectionCounts(metrics);
-    counts.opened(LIFE);
-    counts.forget(LIFE);
-    counts.closed(LIFE, ConnectionEnd.ENDPOINT_GONE);
-    counts.opened(LIFE);
+    counts.opened(INCARNATION);
+    counts.forget(INCARNATION);
+    counts.closed(INCARNATION, ConnectionEnd.ENDPOINT_GONE);
+    counts.opened(INCARNATION);
     assertTrue(text.write().contains("connections_opened_total{by=\"first\"} 2"), text.write());
   }
 
-  /** Guards against new connections of which nobody can tell why none was kept. */
+  /** Guards against new connections whose reason cannot be found in the metrics. */
   @Test
-  void tellsWhyEachConnectionWasOpened() throws Exception {
+  void countsWhyEachConnectionWasOpened() throws Exception {
     try (ScriptedEndpoint endpoint = new ScriptedEndpoint()) {
       endpoint.then(OK, KEEP).then(LAST, CLOSE).then(OK, KEEP).then(OK, KEEP);
       call(endpoint);
@@ -88,7 +88,7 @@
         new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, "/a");
     sent++;
     request.headers().set("Test-Id", "r" + sent).set("Content-Length", 0);
-    loop.execute(() -> pool.send(LIFE, endpoint.address(), request, new Ended(ended)));
+    loop.execute(() -> pool.send(INCARNATION, endpoint.address(), request, new Ended(ended)));
     ended.get(5, TimeUnit.SECONDS);
   }
 
@@ -103,7 +103,7 @@
         headers -> Optional.empty());
   }
 
-  /** Waits for the end of an answer. */
+  /** Completes a future when the response ends. */
   private record Ended(CompletableFuture<Void> done) implements EndpointCallListener {
 
     @Override
