--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/SlotAnswer.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/SlotAnswer.java
@@ -3,20 +3,20 @@
 import io.hawthornlb.gateway.endpoint.EndpointLife;
 import java.time.Duration;
 
-/** What a coordinator tells about a request for a slot. */
+/** Answer of a coordinator to a request for a slot. */
 public sealed interface SlotAnswer {
 
-  /** Returns the request that it is about. */
+  /** Returns the key of the answered request. */
   SlotKey key();
 
   /**
    * The request may use a slot now.
    *
-   * @param life endpoint, and which of its lives the slot is one of
+   * @param life endpoint and incarnation that the slot belongs to
    */
   record Granted(SlotKey key, EndpointLife life) implements SlotAnswer {
 
-    /** Creates a grant at an endpoint that did not say when it started. */
+    /** Creates a grant for an endpoint that has not reported when it started. */
     public Granted(SlotKey key, String endpoint) {
       this(key, EndpointLife.ofUnknownStart(endpoint));
     }
@@ -28,33 +28,33 @@
   }
 
   /**
-   * The request waits; another answer follows.
+   * The request waits; a later answer grants or refuses it.
    *
-   * @param atMost time after which it is refused at the latest
+   * @param atMost time after which the coordinator refuses the request at the latest
    */
   record Waiting(SlotKey key, Duration atMost) implements SlotAnswer {}
 
   /**
    * The request gets no slot in time.
    *
-   * @param retryAfter when a slot is likely free
-   * @param seen what decided it
+   * @param retryAfter time after which a slot is likely to be free
+   * @param seen load on which the coordinator based the refusal
    */
   record Refused(SlotKey key, Duration retryAfter, Load seen) implements SlotAnswer {}
 
   /**
-   * Load of a service when a request was refused, for those who look for the cause later.
+   * Load of a service at the moment of a refusal, reported so that operators can find the cause.
    *
-   * @param slots slots of the endpoints that take requests
-   * @param used slots handed out to requests and items
-   * @param waiting online requests that wait
+   * @param slots number of slots of the endpoints that accept requests
+   * @param used number of slots granted to requests and batch items
+   * @param waiting number of waiting online requests
    */
   record Load(int slots, int used, int waiting) {
 
-    /** Says that the refusal was not due to load. */
+    /** The load is unknown, because the refusal was not due to load. */
     public static final Load UNKNOWN = new Load(-1, -1, -1);
   }
 
-  /** The slot of a batch item is needed by an online request; the item must end now. */
+  /** An online request needs the slot of a batch item; the item must end now. */
   record Revoked(SlotKey key) implements SlotAnswer {}
 }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/SlotClient.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/SlotClient.java
@@ -2,36 +2,36 @@
 
 import io.hawthornlb.gateway.wire.ToldLoad;
 
-/** Gets slots for requests of this gateway. */
+/** Acquires and releases slots for the requests of this gateway. */
 public interface SlotClient {
 
   /**
-   * Asks for a slot.
+   * Requests a slot.
    *
-   * @param request what is asked for; its key comes from {@link #nextKey()}
-   * @param listener told once of a grant or a refusal, and later perhaps of a revocation
+   * @param request the request for a slot; its key comes from {@link #nextKey()}
+   * @param listener receives the grant or refusal once, and possibly a later revocation
    */
   void acquire(SlotRequest request, Listener listener);
 
-  /** Ends a use, or the wait for it. */
+  /** Releases a slot, or cancels the wait for one. */
   void release(SlotKey key, SlotOutcome outcome);
 
   /**
-   * Tells that the endpoint of a use is silent, so that others are placed elsewhere meanwhile; told
-   * again while it stays so.
+   * Reports that the endpoint of a slot is silent, so that the coordinator places other requests
+   * elsewhere. The caller repeats the report while the endpoint stays silent.
    */
   void suspect(SlotKey key);
 
-  /** Tells the load that the endpoint of a use told. */
+  /** Passes on the load that the endpoint of a slot reported. */
   void told(SlotKey key, ToldLoad load);
 
-  /** Returns the key of a new request. */
+  /** Returns the key for a new request, unique in the fleet. */
   SlotKey nextKey();
 
   /** Receives the answers to a request for a slot. */
   interface Listener {
 
-    /** Takes an answer; never {@link SlotAnswer.Waiting}. */
+    /** Handles an answer, which is never {@link SlotAnswer.Waiting}. */
     void onAnswer(SlotAnswer answer);
   }
 }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/SlotCoordinator.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/SlotCoordinator.java
@@ -7,39 +7,48 @@
 /**
  * Hands out the slots of one service's endpoints to all gateways of the fleet.
  *
- * <p>Load pattern: online requests come in waves that fill every slot for seconds, and leave most
- * of them idle in between; each gateway sees a small part. Gateways that place by themselves send
- * two requests to one endpoint while another one idles, and learn of it too late, and batch items
- * hold slots for seconds. One place that knows every use places exactly, queues in one order, and
- * takes slots back from batch items at the moment when an online request would wait.
+ * <p>Online requests arrive in waves that fill every slot for seconds and leave most slots idle in
+ * between, and each gateway sees only a small part of them. If gateways placed requests
+ * independently, two of them could pick the same endpoint while another endpoint is idle, and would
+ * learn of that too late; batch items would also hold slots for seconds. A single coordinator that
+ * knows every slot in use places requests exactly, keeps one queue, and revokes slots from batch
+ * items as soon as an online request would have to wait.
  *
- * <p>It has no I/O and no thread; time is passed in.
+ * <p>Implementations do no I/O and start no thread; callers pass in the time.
  */
 public interface SlotCoordinator {
 
-  /** Takes a request for a slot; returns what to tell its holder and others. */
+  /**
+   * Handles a request for a slot; returns the answers to send to its holder and to other holders.
+   */
   List<SlotAnswer> request(SlotRequest request, Instant now);
 
-  /** Takes the end of a use, or the end of waiting. */
+  /** Handles the release of a slot or the end of a wait; returns the answers to send. */
   List<SlotAnswer> release(SlotKey key, SlotOutcome outcome, Instant now);
 
   /**
-   * Takes that the endpoint of a use is silent: at first a hint, then a failure; the use goes on.
+   * Handles a report that the endpoint of a slot is silent. The first report counts as a hint, the
+   * following ones as failures; the slot stays in use.
    */
   void suspect(SlotKey key, Instant now);
 
-  /** Takes the load that the endpoint of a use told. */
+  /** Handles the load that the endpoint of a slot reported. */
   void told(SlotKey key, ToldLoad load, Instant now);
 
-  /** Takes from another coordinator that a request has crashed too many endpoints. */
+  /** Blocks a request because another coordinator found that it crashed too many endpoints. */
   void bar(long fingerprint, Instant now);
 
-  /** Takes all uses of a holder, which become known or stay so. */
+  /** Renews the leases of a holder, which lists all slots that it uses; unknown ones are added. */
   void renew(String holder, List<SlotUse> uses, Instant now);
 
-  /** Refuses those that have waited too long, forgets silent holders, fills free slots. */
+  /**
+   * Refuses the requests that have waited too long, drops the leases of silent holders, and grants
+   * free slots; returns the answers to send.
+   */
   List<SlotAnswer> tick(Instant now);
 
-  /** Returns whether anything waits or is in use, so that ticks are needed. */
+  /**
+   * Returns whether any request waits or any slot is in use, so that {@link #tick} must be called.
+   */
   boolean busy();
 }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/SlotKey.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/SlotKey.java
@@ -1,14 +1,15 @@
 package io.hawthornlb.gateway.slot;
 
 /**
- * Names a request for a slot in the whole fleet.
+ * Identifies a request for a slot, unique in the fleet.
  *
- * @param holder start of the gateway that asks
- * @param number number that the gateway gave the request
+ * @param holder id of the gateway process that sends the request
+ * @param number number of the request at this gateway process
  */
 public record SlotKey(String holder, long number) {
 
-  // Written out, as in other keys: the generated ones are linked at run time, in some milliseconds.
+  // Written by hand, as in other keys, because the JVM links the generated methods at run time,
+  // which takes some milliseconds.
   @Override
   public boolean equals(Object other) {
     return other instanceof SlotKey key && number == key.number && holder.equals(key.holder);
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/SlotRequest.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/SlotRequest.java
@@ -5,20 +5,23 @@
 import java.util.Set;
 
 /**
- * Asks for a slot at an endpoint of a service.
+ * Requests a slot at an endpoint of a service.
  *
- * @param key name of the request
- * @param service service whose endpoints fit
- * @param batch whether somebody waits for the answer (false) or it may give way (true)
- * @param rank order among those that wait; the lowest goes first. Priority of the route for online
- *     requests, due time for batch items
+ * @param key key of the request
+ * @param service service whose endpoints can serve the request
+ * @param batch whether this is a batch item, which may be preempted (true), or an online request,
+ *     for which a caller waits (false)
+ * @param rank position among the waiting requests; the lowest rank goes first. The priority of the
+ *     route for online requests, the due time for batch items
  * @param work time for which a batch item still has to run; zero for online requests
- * @param dataCentre where the gateway stands
- * @param maxWait longest time that it may wait for a slot
- * @param patience longest time that it may wait if it was refused before, and comes back for the
- *     last time
- * @param fingerprint hash of what is asked; 0 if it need not be recognized when it comes again
- * @param excluded lives of endpoints that refused the request or broke off on it
+ * @param dataCentre data centre of the gateway
+ * @param maxWait longest time that the request may wait for a slot
+ * @param patience longest time that the request may wait if it was refused before and this is its
+ *     last attempt
+ * @param fingerprint hash of the request's content, by which a repeated request is recognized; 0 if
+ *     that is not needed
+ * @param excluded endpoint incarnations that refused the request or broke the connection while they
+ *     ran it
  */
 public record SlotRequest(
     SlotKey key,
@@ -32,7 +35,10 @@
     long fingerprint,
     Set<EndpointLife> excluded) {
 
-  /** Creates a request of unknown work that waits no longer when it comes back. */
+  /**
+   * Creates a request of unknown work that may not wait longer when its caller returns after a
+   * refusal.
+   */
   public SlotRequest(
       SlotKey key,
       String service,
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/SlotUse.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/SlotUse.java
@@ -4,17 +4,17 @@
 import java.time.Duration;
 
 /**
- * A slot in use, as its holder tells it.
+ * A slot in use, as reported by its holder.
  *
  * @param number number of the request at its holder
- * @param life endpoint, and which of its lives the slot is one of
- * @param batch whether a batch item runs there
- * @param rank order of the request; see {@link SlotRequest#rank()}
- * @param work time for which it still has to run; see {@link SlotRequest#work()}
+ * @param life endpoint and incarnation that the slot belongs to
+ * @param batch whether the slot is used by a batch item
+ * @param rank rank of the request; see {@link SlotRequest#rank()}
+ * @param work time for which the request still has to run; see {@link SlotRequest#work()}
  */
 public record SlotUse(long number, EndpointLife life, boolean batch, long rank, Duration work) {
 
-  /** Creates a use at an endpoint that did not say when it started. */
+  /** Creates a use of a slot at an endpoint that has not reported when it started. */
   public SlotUse(long number, String endpoint, boolean batch, long rank) {
     this(number, EndpointLife.ofUnknownStart(endpoint), batch, rank, Duration.ZERO);
   }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/package-info.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/package-info.java
@@ -1,4 +1,7 @@
-/** Who may use which slot of which endpoint, and who waits. */
+/**
+ * Slots of endpoints: requests for them, grants, and the coordinator that queues and places
+ * requests.
+ */
 @NullMarked
 package io.hawthornlb.gateway.slot;
 
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/support/CrashCounts.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/support/CrashCounts.java
@@ -6,35 +6,33 @@
 import java.util.Map;
 
 /**
- * Requests whose runs ended with a failure of their endpoint, by what they ask.
+ * Counts the endpoint failures that each request has caused, by the request's fingerprint.
  *
- * <p>Failure: a request crashes each endpoint that runs it, and its caller sends it again and
- * again. It shows as endpoints that break off one after the other on requests with the same path
- * and body. Guard: after three such ends it gets no slot for a while. All attempts meet here,
- * whichever gateway takes them, since one coordinator hands out the slots; it tells the others, who
- * may come to hand them out after it. An innocent request is refused only if three endpoints failed
- * under it, and may come back.
+ * <p>Guards against a request that crashes each endpoint that runs it and that its caller sends
+ * again and again: endpoints break the connection one after the other on requests with the same
+ * path and body. After three such failures the coordinator grants the request no slot for a while.
+ * One coordinator hands out the slots and so sees all attempts, whichever gateway receives them; it
+ * informs the other instances, any of which may become the coordinator after it. A harmless request
+ * is refused only if three endpoints failed while they ran it, and its caller may retry later.
  */
 final class CrashCounts {
 
-  /** Ends with a failure after which a request gets no slot. */
+  /** Number of failures after which a request gets no slot. */
   private static final int MAX_CRASHES = 3;
 
-  /**
-   * Time without a failure after which a request is forgotten; callers come back within seconds.
-   */
-  private static final Duration REMEMBERED = Duration.ofSeconds(60);
+  /** Time without a failure after which a request is forgotten; callers return within seconds. */
+  private static final Duration RETENTION = Duration.ofSeconds(60);
 
-  /** Requests that are remembered; bounds the memory while endpoints fail in numbers. */
+  /** Maximum number of remembered requests; bounds the memory while many endpoints fail. */
   private static final int MAX_REMEMBERED = 10_000;
 
   private record Crashes(int count, Instant last) {}
 
   private final Map<Long, Crashes> crashes = new HashMap<>();
 
-  void crashed(long fingerprint, Instant now) {
+  void recordCrash(long fingerprint, Instant now) {
     if (crashes.size() >= MAX_REMEMBERED) {
-      crashes.values().removeIf(each -> each.last().plus(REMEMBERED).isBefore(now));
+      crashes.values().removeIf(each -> each.last().plus(RETENTION).isBefore(now));
     }
     if (crashes.size() < MAX_REMEMBERED || crashes.containsKey(fingerprint)) {
       crashes.merge(
@@ -42,19 +40,19 @@
     }
   }
 
-  /** Takes that others have seen a request crash too many endpoints. */
-  void bar(long fingerprint, Instant now) {
+  /** Blocks a request because another coordinator found that it crashed too many endpoints. */
+  void block(long fingerprint, Instant now) {
     crashes.put(fingerprint, new Crashes(MAX_CRASHES, now));
   }
 
-  boolean barred(long fingerprint, Instant now) {
+  boolean blocked(long fingerprint, Instant now) {
     Crashes known = crashes.get(fingerprint);
     return known != null
         && known.count() >= MAX_CRASHES
-        && now.isBefore(known.last().plus(REMEMBERED));
+        && now.isBefore(known.last().plus(RETENTION));
   }
 
-  Duration remembered() {
-    return REMEMBERED;
+  Duration blockTime() {
+    return RETENTION;
   }
 }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/support/DefaultSlotCoordinator.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/support/DefaultSlotCoordinator.java
@@ -25,27 +25,29 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Coordinator that queues by rank and revokes a batch item when an online request finds no slot.
+ * Coordinator that queues requests by rank and revokes a batch item's slot when an online request
+ * finds no free slot.
  *
- * <p>A request that is refused at once can come back while there is time; one that waits longer
- * than it may would be late and would have kept others waiting. So an online request waits only
- * while its expected wait, from the length of recent uses, is within what it may wait.
+ * <p>The caller of a request that is refused at once can retry while there is still time. A request
+ * that waits longer than it may would be answered late and would have delayed others. So an online
+ * request waits only if its expected wait, estimated from the length of recent uses, is within its
+ * maximum wait.
  */
 public final class DefaultSlotCoordinator implements SlotCoordinator {
 
-  /** Items that can be in time before those that cannot, then by due time. */
+  /** Orders items that can finish in time before those that cannot, then by due time. */
   private static final Comparator<SlotLease> ITEM_ORDER =
       Comparator.comparing(SlotLease::late).thenComparing(SlotLease::rank);
 
   private final EndpointDirectory directory;
   private final SlotSettings settings;
-  private final LongConsumer barred;
+  private final LongConsumer onBlocked;
   private final Penalties penalties;
-  private final Outliers outliers;
+  private final OutlierDetector outliers;
   private final CrashCounts crashes = new CrashCounts();
   private final RefusedCallers refusedCallers;
-  private final OverloadSpell spell = new OverloadSpell();
-  private final ForeignLoad foreign = new ForeignLoad();
+  private final OverloadPeriod overloadPeriod = new OverloadPeriod();
+  private final UntrackedLoad untrackedLoad = new UntrackedLoad();
   private final WaitEstimate estimate = new WaitEstimate();
   private final SlotLeases leases;
   private final WaitingRequests waiting = new WaitingRequests();
@@ -55,28 +57,29 @@
   /**
    * Creates a coordinator of a service.
    *
-   * @param barred told of each request that gets no more slots because it crashed endpoints
+   * @param onBlocked receives the fingerprint of each request that gets no more slots because it
+   *     crashed endpoints
    */
   public DefaultSlotCoordinator(
-      String service, EndpointDirectory directory, SlotSettings settings, LongConsumer barred) {
-    this.barred = barred;
+      String service, EndpointDirectory directory, SlotSettings settings, LongConsumer onBlocked) {
+    this.onBlocked = onBlocked;
     this.directory = directory;
     this.settings = settings;
     this.penalties = new Penalties(settings);
-    this.outliers = new Outliers(settings);
+    this.outliers = new OutlierDetector(settings);
     this.refusedCallers = new RefusedCallers(settings);
     this.leases = new SlotLeases(directory);
     this.lateItems = new LateItems(leases, waiting);
     this.search =
-        new SlotSearch(service, directory, settings, leases, penalties, outliers, foreign);
-    directory.onNewLife(this::begun);
+        new SlotSearch(service, directory, settings, leases, penalties, outliers, untrackedLoad);
+    directory.onNewLife(this::onNewIncarnation);
   }
 
   @Override
   public List<SlotAnswer> request(SlotRequest request, Instant now) {
     SlotLease held = leases.find(request.key());
-    if (held != null && leases.counts(held)) {
-      // The answer was lost, and the holder asks again.
+    if (held != null && leases.isCurrent(held)) {
+      // The answer was lost, and the holder repeats its request.
       return List.of(new SlotAnswer.Granted(request.key(), held.life()));
     }
     leases.drop(request.key());
@@ -84,16 +87,16 @@
     if (known != null) {
       return List.of(waitingUntil(known, now));
     }
-    if (crashes.barred(request.fingerprint(), now)) {
-      return List.of(refused(request, crashes.remembered()));
+    if (crashes.blocked(request.fingerprint(), now)) {
+      return List.of(refused(request, crashes.blockTime()));
     }
     List<SlotAnswer> answers = new ArrayList<>();
     boolean returning = refusedCallers.returned(request.fingerprint(), now);
-    boolean alone = waiting.isEmpty();
+    boolean firstInQueue = waiting.isEmpty();
     if (!tryGrant(request, now, answers)) {
       waitOrRefuse(request, returning, now, answers);
-    } else if (alone) {
-      spell.eased(now);
+    } else if (firstInQueue) {
+      overloadPeriod.slotFound(now);
     }
     return answers;
   }
@@ -105,13 +108,13 @@
     if (lease == null) {
       return List.of();
     }
-    if (leases.counts(lease)) {
+    if (leases.isCurrent(lease)) {
       penalties.record(
           lease.endpoint(), lease.endpointDataCentre(), lease.dataCentre(), outcome, now);
       outliers.ended(lease, outcome, now);
     }
     if (outcome == SlotOutcome.FAILED && lease.fingerprint() != 0) {
-      crashed(lease.fingerprint(), now);
+      recordCrash(lease.fingerprint(), now);
     }
     if (outcome == SlotOutcome.ANSWERED && !lease.batch()) {
       estimate.ended(lease.since(), now);
@@ -122,49 +125,49 @@
   @Override
   public void suspect(SlotKey key, Instant now) {
     SlotLease lease = leases.find(key);
-    if (lease == null || !leases.counts(lease)) {
+    if (lease == null || !leases.isCurrent(lease)) {
       return;
     }
-    // No failure of the way there: a full endpoint is silent as well, and must not count as cut
-    // off.
+    // Record this as shed, not as a failure of the network path: a full endpoint is silent as well
+    // and must not make its data centre count as cut off.
     penalties.record(
         lease.endpoint(), lease.endpointDataCentre(), lease.dataCentre(), SlotOutcome.SHED, now);
-    SlotOutcome taken = lease.suspected() ? SlotOutcome.FAILED : SlotOutcome.SHED;
-    outliers.ended(lease, taken, now);
-    leases.hold(lease.withSuspicion());
+    SlotOutcome recorded = lease.suspected() ? SlotOutcome.FAILED : SlotOutcome.SHED;
+    outliers.ended(lease, recorded, now);
+    leases.put(lease.withSuspicion());
   }
 
   @Override
   public void told(SlotKey key, ToldLoad load, Instant now) {
     SlotLease lease = leases.find(key);
-    if (lease != null && leases.counts(lease)) {
-      foreign.told(lease.endpoint(), load, leases.used(lease.endpoint()), now);
+    if (lease != null && leases.isCurrent(lease)) {
+      untrackedLoad.reported(lease.endpoint(), load, leases.used(lease.endpoint()), now);
     }
   }
 
   @Override
   public void bar(long fingerprint, Instant now) {
-    crashes.bar(fingerprint, now);
+    crashes.block(fingerprint, now);
   }
 
   @Override
   public void renew(String holder, List<SlotUse> uses, Instant now) {
-    Map<Long, SlotUse> told =
+    Map<Long, SlotUse> reported =
         uses.stream().collect(Collectors.toMap(SlotUse::number, use -> use, (a, b) -> b));
-    Instant settled = now.minus(settings.leaseTime().dividedBy(3));
+    Instant renewedSince = now.minus(settings.leaseTime().dividedBy(3));
     leases.dropAll(
         lease ->
             lease.key().holder().equals(holder)
-                && !told.containsKey(lease.key().number())
-                && lease.since().isBefore(settled));
-    for (SlotUse use : told.values()) {
+                && !reported.containsKey(lease.key().number())
+                && lease.since().isBefore(renewedSince));
+    for (SlotUse use : reported.values()) {
       SlotKey key = new SlotKey(holder, use.number());
       SlotLease known = leases.find(key);
       SlotLease renewed =
           known != null && known.endpoint().equals(use.endpoint())
               ? known.renewed(use.life(), now)
               : adopted(key, use, now);
-      leases.hold(renewed);
+      leases.put(renewed);
     }
   }
 
@@ -173,7 +176,7 @@
     Instant silentSince = now.minus(settings.leaseTime());
     leases.dropAll(lease -> lease.renewed().isBefore(silentSince));
     if (settings.lateItemsLast()) {
-      lateItems.look(now);
+      lateItems.update(now);
     }
     List<SlotAnswer> answers = new ArrayList<>(fill(now));
     for (Waiter waiter : waiting.removeExpired(now)) {
@@ -187,10 +190,10 @@
     return !leases.isEmpty() || !waiting.isEmpty();
   }
 
-  private void crashed(long fingerprint, Instant now) {
-    crashes.crashed(fingerprint, now);
-    if (crashes.barred(fingerprint, now)) {
-      barred.accept(fingerprint);
+  private void recordCrash(long fingerprint, Instant now) {
+    crashes.recordCrash(fingerprint, now);
+    if (crashes.blocked(fingerprint, now)) {
+      onBlocked.accept(fingerprint);
     }
   }
 
@@ -208,8 +211,8 @@
 
   private Duration expectedWait(Waiter waiter, Instant now) {
     Duration queue = estimate.of(waiting.before(waiter), search.slots());
-    // Newcomers go first, so that one that comes back is served once the overload ends.
-    Duration overload = waiter.returning() ? spell.remaining(now) : Duration.ZERO;
+    // New requests go first, so a returning one is served only once the overload ends.
+    Duration overload = waiter.returning() ? overloadPeriod.remaining(now) : Duration.ZERO;
     return queue.compareTo(overload) > 0 ? queue : overload;
   }
 
@@ -217,7 +220,9 @@
     return new SlotAnswer.Waiting(waiter.request().key(), Duration.between(now, waiter.until()));
   }
 
-  /** Refuses a request and tells when those who are to be served before it will be. */
+  /**
+   * Refuses a request, with the time after which the requests before it are likely to be served.
+   */
   private SlotAnswer refuse(Waiter waiter, Instant now) {
     SlotRequest request = waiter.request();
     if (request.batch()) {
@@ -238,55 +243,60 @@
     return new SlotAnswer.Refused(request.key(), retryAfter, seen);
   }
 
-  /** Takes a refusal; returns for how long the overload that it is due to is likely to last. */
+  /** Records a refusal and returns how long the overload that caused it is likely to last. */
   private Duration overload(Instant now) {
     if (settings.returnTime().isNegative() || !exhausted(now)) {
-      // Without a free slot for this request alone, which may have excluded those there are.
+      // Only this request finds no slot: it may have excluded the endpoints that have a free one.
       return Duration.ZERO;
     }
-    spell.refused(now);
-    return spell.remaining(now);
+    overloadPeriod.refused(now);
+    return overloadPeriod.remaining(now);
   }
 
   /**
-   * Hands free slots to those that wait, in their order.
+   * Grants free slots to the waiting requests, in their order.
    *
-   * <p>Load pattern: on the crest of a large fleet hundreds wait while slots come free one by one.
-   * A search that found nothing is not made again for others from the same data centre, who would
-   * find nothing either, and none is made while all slots are in use ({@link #exhausted}).
+   * <p>At the peak load of a large fleet hundreds of requests wait while slots become free one by
+   * one. A search that found no slot is not repeated for other requests from the same data centre,
+   * because it would find none either, and no search is made while all slots are in use ({@link
+   * #exhausted}).
    */
   private List<SlotAnswer> fill(Instant now) {
     List<SlotAnswer> answers = new ArrayList<>();
-    Set<Search> failed = new HashSet<>();
+    Set<SearchScope> failed = new HashSet<>();
     Iterator<Waiter> next = waiting.inOrder();
     while (next.hasNext() && !exhausted(now)) {
       SlotRequest request = next.next().request();
       if (request.batch() && !search.anyFree(now)) {
-        // Items come last, and there is a slot for none of those behind it either.
+        // Items come last, so there is no slot for the items behind this one either.
         break;
       }
-      Search search = new Search(request.dataCentre(), request.batch());
-      if (failed.contains(search)) {
+      SearchScope scope = new SearchScope(request.dataCentre(), request.batch());
+      if (failed.contains(scope)) {
         continue;
       }
       if (tryGrant(request, now, answers)) {
         next.remove();
       } else if (request.excluded().isEmpty()) {
-        failed.add(search);
+        failed.add(scope);
       }
     }
     return answers;
   }
 
-  /** Where a slot is looked for; those with an equal one find the same, less what they exclude. */
-  private record Search(String dataCentre, boolean batch) {
+  /**
+   * Scope of a search for a slot; searches with equal scopes find the same endpoints, except for
+   * those that a request excludes.
+   */
+  private record SearchScope(String dataCentre, boolean batch) {
 
-    // Written out: the generated ones are linked at run time, in some milliseconds.
+    // Written by hand, because the JVM links the generated methods at run time, which takes some
+    // milliseconds.
     @Override
     public boolean equals(Object other) {
-      return other instanceof Search search
-          && batch == search.batch
-          && dataCentre.equals(search.dataCentre);
+      return other instanceof SearchScope scope
+          && batch == scope.batch
+          && dataCentre.equals(scope.dataCentre);
     }
 
     @Override
@@ -299,7 +309,7 @@
     return settings.lateItemsLast() && lateItems.late(request, now);
   }
 
-  /** Returns whether no endpoint has a slot that is free or can be taken back. */
+  /** Returns whether no endpoint has a slot that is free or can be revoked. */
   private boolean exhausted(Instant now) {
     return !leases.anyItem() && !search.anyFree(now);
   }
@@ -307,15 +317,15 @@
   private boolean tryGrant(SlotRequest request, Instant now, List<SlotAnswer> answers) {
     String from = request.dataCentre();
     List<EndpointRecord> candidates = search.candidates(request, now);
-    List<EndpointRecord> sound = search.sound(candidates, from, now);
-    if (request.batch() && !search.roomForItem(sound, now)) {
+    List<EndpointRecord> notAvoided = search.withoutAvoided(candidates, from, now);
+    if (request.batch() && !search.roomForItem(notAvoided, now)) {
       return false;
     }
-    Optional<EndpointRecord> found = search.withFreeSlot(sound, from, now);
+    Optional<EndpointRecord> found = search.withFreeSlot(notAvoided, from, now);
     if (found.isEmpty() && !request.batch()) {
       found =
-          revokeOne(search.preferred(sound, from), answers)
-              .or(() -> revokeOne(sound, answers))
+          revokeOne(search.preferred(notAvoided, from), answers)
+              .or(() -> revokeOne(notAvoided, answers))
               .or(() -> search.withFreeSlot(candidates, from, now));
     }
     if (found.isEmpty()) {
@@ -324,7 +334,7 @@
     EndpointRecord endpoint = found.get();
     penalties.granted(endpoint, request.dataCentre(), now);
     outliers.granted(endpoint.id(), request.dataCentre(), now);
-    leases.hold(
+    leases.put(
         new SlotLease(
             request.key(),
             endpoint.life(),
@@ -342,11 +352,11 @@
     return true;
   }
 
-  /** Forgets what a former life of an endpoint has made untrue. */
-  private void begun(EndpointLife life) {
-    penalties.forget(life.id());
-    outliers.forget(life.id());
-    foreign.forget(life.id());
+  /** Discards the state that became invalid with the former incarnation of an endpoint. */
+  private void onNewIncarnation(EndpointLife incarnation) {
+    penalties.forget(incarnation.id());
+    outliers.forget(incarnation.id());
+    untrackedLoad.forget(incarnation.id());
     leases.recount();
   }
 
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/support/LateItems.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/support/LateItems.java
@@ -5,35 +5,39 @@
 import java.time.Instant;
 
 /**
- * Puts batch items that can no longer be in time behind the others, those that run and those that
- * wait.
+ * Moves batch items that can no longer finish in time behind the other items, both running and
+ * waiting ones.
  *
- * <p>Load pattern: after an outage more items wait than can be done in time. In the order of their
- * due times each gets its slots a little too late, and so do all behind it. Items become late while
- * they wait or run beside a crest, so that their holders, who tell once what is left, don't know.
+ * <p>After an outage more items wait than can finish in time. If items ran strictly by due time,
+ * each would get its slot a little too late, and so would all items behind it. Items become late
+ * while they wait, or while they run during a load peak, so their holders, which report the
+ * remaining work only once, do not notice it.
  */
 final class LateItems {
 
-  /** Time between two looks; a fraction of what an item of some seconds still has to run. */
-  private static final Duration LOOK_EVERY = Duration.ofMillis(100);
+  /**
+   * Time between two updates; a fraction of the time for which an item of some seconds still has to
+   * run.
+   */
+  private static final Duration UPDATE_INTERVAL = Duration.ofMillis(100);
 
   private final SlotLeases leases;
   private final WaitingRequests waiting;
-  private Instant looked = Instant.EPOCH;
+  private Instant updated = Instant.EPOCH;
 
   LateItems(SlotLeases leases, WaitingRequests waiting) {
     this.leases = leases;
     this.waiting = waiting;
   }
 
-  /** Looks at all items again if the last look is old. */
-  void look(Instant now) {
-    if (now.isBefore(looked.plus(LOOK_EVERY))) {
+  /** Recomputes which items are late, if the last update is old. */
+  void update(Instant now) {
+    if (now.isBefore(updated.plus(UPDATE_INTERVAL))) {
       return;
     }
-    looked = now;
+    updated = now;
     for (SlotLease lease : leases.items()) {
-      leases.hold(lease.withLate(late(lease.rank(), lease.left(now), now)));
+      leases.put(lease.withLate(late(lease.rank(), lease.remainingWork(now), now)));
     }
     for (Waiter waiter : waiting.items()) {
       boolean late = late(waiter.request(), now);
@@ -43,7 +47,7 @@
     }
   }
 
-  /** Returns whether a request is one of an item that can no longer be in time. */
+  /** Returns whether a request belongs to an item that can no longer finish in time. */
   boolean late(SlotRequest request, Instant now) {
     return request.batch() && late(request.rank(), request.work(), now);
   }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/support/LeastUsedPlacement.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/support/LeastUsedPlacement.java
@@ -4,7 +4,10 @@
 import java.util.Comparator;
 import java.util.function.ToIntFunction;
 
-/** Prefers the endpoint with the smallest share of its slots in use, at equal shares a near one. */
+/**
+ * Prefers the endpoint with the smallest share of its slots in use; among equal shares, endpoints
+ * in the data centre of the gateway come first.
+ */
 final class LeastUsedPlacement implements Placement {
 
   @Override
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/support/NearestPlacement.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/support/NearestPlacement.java
@@ -5,21 +5,21 @@
 import java.util.function.ToIntFunction;
 
 /**
- * Prefers endpoints in the data centre of the gateway, and the least used among those.
+ * Prefers endpoints in the data centre of the gateway, and the least used of those.
  *
- * <p>Failure: a data centre is cut off. It shows as streams that end in the middle, all those that
- * cross its border, and few of them can be resumed. Guard: a stream crosses a border only while no
- * slot is free on its side, nor held by an item.
+ * <p>When a data centre is cut off, every stream that crosses its border breaks, and few of these
+ * streams can be resumed. So a stream goes to another data centre only if no slot in its own is
+ * free or held by a batch item.
  */
 final class NearestPlacement implements Placement {
 
-  private final Placement among = new LeastUsedPlacement();
+  private final Placement leastUsed = new LeastUsedPlacement();
 
   @Override
   public Comparator<EndpointRecord> order(String dataCentre, ToIntFunction<EndpointRecord> inUse) {
     return Comparator.comparing(
             (EndpointRecord endpoint) -> !endpoint.dataCentre().equals(dataCentre))
-        .thenComparing(among.order(dataCentre, inUse));
+        .thenComparing(leastUsed.order(dataCentre, inUse));
   }
 
   @Override
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/support/Penalties.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/support/Penalties.java
@@ -10,22 +10,24 @@
 import java.util.Set;
 
 /**
- * Endpoints that get nothing for a while because they failed, seen from one data centre each.
+ * Keeps endpoints from getting requests for a while after they failed, separately for each data
+ * centre that requests come from.
  *
- * <p>A cut between data centres fails requests from one side only, so a failure counts for the data
- * centre that met it. Were each endpoint behind the cut found out by a request of its own, each of
- * these would lose the time of a connection attempt; so once two endpoints of another data centre
- * have failed in a row, all of that data centre get nothing from there, but for one try now and
- * then.
+ * <p>A network partition between data centres fails requests from one side only, so a failure
+ * counts only for the data centre that observed it. If each endpoint behind the partition had to
+ * fail a request of its own, each of these requests would lose the time of a connection attempt. So
+ * once two endpoints of another data centre have failed in a row, no endpoint of that data centre
+ * gets requests from this side, except for an occasional probe.
  */
 final class Penalties {
 
   private record Penalty(int failures, Instant until) {}
 
-  /** A way between data centres. */
+  /** The network path from one data centre to another. */
   private record Path(String from, String to) {
 
-    // Written out: the generated ones are linked at run time, in some milliseconds.
+    // Written by hand, because the JVM links the generated methods at run time, which takes some
+    // milliseconds.
     @Override
     public boolean equals(Object other) {
       return other instanceof Path path && from.equals(path.from) && to.equals(path.to);
@@ -37,10 +39,10 @@
     }
   }
 
-  /** Endpoints that must have failed before their data centre counts as cut off. */
+  /** Number of endpoints that must have failed before their data centre counts as cut off. */
   private static final int FAILED_FOR_CUT = 2;
 
-  private final Map<Place, Penalty> penalties = new HashMap<>();
+  private final Map<EndpointView, Penalty> penalties = new HashMap<>();
   private final Map<Path, Set<String>> failedOnPath = new HashMap<>();
   private final Map<Path, Instant> cuts = new HashMap<>();
   private final SlotSettings settings;
@@ -49,30 +51,34 @@
     this.settings = settings;
   }
 
-  boolean free(EndpointRecord endpoint, String dataCentre, Instant now) {
+  boolean allows(EndpointRecord endpoint, String dataCentre, Instant now) {
     Instant cutUntil = cuts.get(new Path(dataCentre, endpoint.dataCentre()));
     if (cutUntil != null && now.isBefore(cutUntil)) {
       return false;
     }
-    Penalty penalty = penalties.get(new Place(endpoint.id(), dataCentre));
+    Penalty penalty = penalties.get(new EndpointView(endpoint.id(), dataCentre));
     return penalty == null || !now.isBefore(penalty.until());
   }
 
   /**
-   * Notes that an endpoint got a request, perhaps as a try after failures.
+   * Records that an endpoint was granted a request, which may be a probe after failures.
    *
-   * <p>Without this, all that wait when a penalty ends would go to an endpoint that still fails.
+   * <p>Otherwise all requests that wait when a penalty ends would go to an endpoint that may still
+   * be failing.
    */
   void granted(EndpointRecord endpoint, String dataCentre, Instant now) {
-    Instant tryUntil = now.plus(settings.tryTime());
-    cuts.computeIfPresent(new Path(dataCentre, endpoint.dataCentre()), (path, until) -> tryUntil);
+    Instant probeUntil = now.plus(settings.probeTime());
+    cuts.computeIfPresent(new Path(dataCentre, endpoint.dataCentre()), (path, until) -> probeUntil);
     penalties.computeIfPresent(
-        new Place(endpoint.id(), dataCentre),
-        (place, former) ->
-            former.failures() > 0 ? new Penalty(former.failures(), tryUntil) : former);
+        new EndpointView(endpoint.id(), dataCentre),
+        (view, former) ->
+            former.failures() > 0 ? new Penalty(former.failures(), probeUntil) : former);
   }
 
-  /** Takes the end of a use at an endpoint that may be in a data centre of its own. */
+  /**
+   * Records the outcome of a use at an endpoint, which may be in another data centre than the
+   * gateway.
+   */
   void record(
       String endpoint,
       String endpointDataCentre,
@@ -84,7 +90,7 @@
       failedOnPath.remove(path);
       cuts.remove(path);
     } else if (failure(outcome) && !dataCentre.equals(endpointDataCentre)) {
-      Set<String> failed = failedOnPath.computeIfAbsent(path, any -> new HashSet<>());
+      Set<String> failed = failedOnPath.computeIfAbsent(path, key -> new HashSet<>());
       failed.add(endpoint);
       if (failed.size() >= FAILED_FOR_CUT) {
         cuts.put(path, now.plus(settings.cutPenalty()));
@@ -93,9 +99,12 @@
     penalize(endpoint, dataCentre, outcome, now);
   }
 
-  /** Forgets the failures of a former life of an endpoint; a crash of it was no cut. */
+  /**
+   * Discards the failures of a former incarnation of an endpoint; its crash was no network
+   * partition.
+   */
   void forget(String endpoint) {
-    penalties.keySet().removeIf(place -> place.endpoint().equals(endpoint));
+    penalties.keySet().removeIf(view -> view.endpoint().equals(endpoint));
     failedOnPath.forEach(
         (path, failed) -> {
           if (failed.remove(endpoint) && failed.size() < FAILED_FOR_CUT) {
@@ -105,12 +114,12 @@
   }
 
   private void penalize(String endpoint, String dataCentre, SlotOutcome outcome, Instant now) {
-    Place place = new Place(endpoint, dataCentre);
+    EndpointView view = new EndpointView(endpoint, dataCentre);
     switch (outcome) {
-      case ANSWERED, ERROR -> penalties.remove(place);
-      case SHED -> penalties.merge(place, shed(now), Penalties::later);
-      case FAILED, UNREACHED -> penalties.merge(place, failed(place, now), Penalties::later);
-      case REPLACED -> penalties.put(place, new Penalty(1, now.plus(settings.maxPenalty())));
+      case ANSWERED, ERROR -> penalties.remove(view);
+      case SHED -> penalties.merge(view, shed(now), Penalties::later);
+      case FAILED, UNREACHED -> penalties.merge(view, failed(view, now), Penalties::later);
+      case REPLACED -> penalties.put(view, new Penalty(1, now.plus(settings.maxPenalty())));
       case ABANDONED -> {}
       default -> throw new IllegalArgumentException("unknown outcome " + outcome);
     }
@@ -124,8 +133,8 @@
     return new Penalty(0, now.plus(settings.shedPenalty()));
   }
 
-  private Penalty failed(Place place, Instant now) {
-    Penalty former = penalties.get(place);
+  private Penalty failed(EndpointView view, Instant now) {
+    Penalty former = penalties.get(view);
     int failures = former == null ? 1 : Math.min(former.failures() + 1, 10);
     Duration doubled = settings.firstPenalty().multipliedBy(1L << (failures - 1));
     Duration time = doubled.compareTo(settings.maxPenalty()) > 0 ? settings.maxPenalty() : doubled;
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/support/RefusedCallers.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/support/RefusedCallers.java
@@ -6,17 +6,17 @@
 import java.util.Map;
 
 /**
- * Callers that were refused and told when to come back.
+ * Remembers callers that were refused and told when to return.
  *
- * <p>Load pattern: on a crest more requests come than slots free up, for seconds. Callers that were
- * refused come back into the same crest, and many are refused a second time, for good. So one that
- * comes back may wait as long as a late answer is of use. It stands behind newcomers all the same:
- * were it served first, each newcomer would be refused in its place and all be late. {@link
- * OverloadSpell} tells when to come back.
+ * <p>At a load peak more requests arrive than slots become free, for seconds. Refused callers
+ * return into the same peak, and many are refused a second time, which is final. So a returning
+ * request may wait for as long as a late answer is still useful. New requests still go before it:
+ * if returning requests were served first, each new request would be refused in their place, and
+ * all requests would be late. {@link OverloadPeriod} estimates when a refused caller should return.
  */
 final class RefusedCallers {
 
-  /** Callers that are remembered at most; bounds the memory in an overload. */
+  /** Maximum number of remembered callers; bounds the memory during an overload. */
   private static final int MAX_REMEMBERED = 5_000;
 
   private final SlotSettings settings;
@@ -26,21 +26,23 @@
     this.settings = settings;
   }
 
-  /** Takes that a caller was refused and told when to come back. */
+  /** Records that a caller was refused and told when to return. */
   void refused(long fingerprint, Duration retryAfter, Instant now) {
-    boolean remembered = fingerprint != 0 && !settings.returnTime().isNegative();
-    if (remembered && expectedUntil.size() < MAX_REMEMBERED) {
+    boolean remember = fingerprint != 0 && !settings.returnTime().isNegative();
+    if (remember && expectedUntil.size() < MAX_REMEMBERED) {
       expectedUntil.put(fingerprint, now.plus(retryAfter).plus(settings.returnTime()));
     }
   }
 
-  /** Returns whether a request was refused before, and expects it no more. */
+  /**
+   * Returns whether a request was refused before and is expected to return; forgets the refusal.
+   */
   boolean returned(long fingerprint, Instant now) {
     Instant until = expectedUntil.remove(fingerprint);
     return until != null && now.isBefore(until);
   }
 
-  /** Returns the number of callers that are still to come back. */
+  /** Returns the number of callers that are still expected to return. */
   int count(Instant now) {
     expectedUntil.values().removeIf(until -> !now.isBefore(until));
     return expectedUntil.size();
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/support/SlotLease.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/support/SlotLease.java
@@ -6,11 +6,11 @@
 import java.time.Instant;
 
 /**
- * A use of a slot that the coordinator knows of.
+ * A lease of a slot, which a holder renews while it uses the slot.
  *
- * @param work time for which it had to run when it became known
- * @param late whether it is a batch item that goes behind those which can be in time
- * @param suspected whether its holder has told that the endpoint is silent
+ * @param work time for which the request still had to run when the coordinator learned of it
+ * @param late whether this is a batch item that goes behind items that can finish in time
+ * @param suspected whether the holder has reported that the endpoint is silent
  */
 record SlotLease(
     SlotKey key,
@@ -31,22 +31,25 @@
     return life.id();
   }
 
-  /** Returns the use as its holder tells it, which knows best at which life it is. */
-  SlotLease renewed(EndpointLife told, Instant now) {
-    return with(told, late, now, suspected);
+  /**
+   * Returns this lease renewed, with the endpoint incarnation that the holder reports; the holder
+   * knows best which incarnation runs its request.
+   */
+  SlotLease renewed(EndpointLife reported, Instant now) {
+    return with(reported, late, now, suspected);
   }
 
-  /** Returns the use with another place among the batch items. */
+  /** Returns this lease with another position among the batch items. */
   SlotLease withLate(boolean nowLate) {
     return with(life, nowLate, renewed, suspected);
   }
 
-  /** Returns the use as one whose endpoint is silent. */
+  /** Returns this lease as one whose endpoint is silent. */
   SlotLease withSuspicion() {
     return with(life, late, renewed, true);
   }
 
-  /** Returns the use with what may change of it. */
+  /** Returns this lease with new values of the components that can change. */
   private SlotLease with(
       EndpointLife nowLife, boolean nowLate, Instant nowRenewed, boolean nowSuspected) {
     return new SlotLease(
@@ -64,9 +67,9 @@
         nowSuspected);
   }
 
-  /** Returns for how long it still has to run. */
-  Duration left(Instant now) {
-    Duration left = work.minus(Duration.between(since, now));
-    return left.isNegative() ? Duration.ZERO : left;
+  /** Returns the time for which the request still has to run. */
+  Duration remainingWork(Instant now) {
+    Duration remaining = work.minus(Duration.between(since, now));
+    return remaining.isNegative() ? Duration.ZERO : remaining;
   }
 }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/support/SlotLeases.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/support/SlotLeases.java
@@ -9,11 +9,12 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The uses of slots that a coordinator knows of, counted by endpoint.
+ * Leases of slots that a coordinator knows of, counted by endpoint.
  *
- * <p>Failure: uses of a former life of an endpoint end late, over datagrams, and would free slots
- * and count failures of the new one. Guard: such a use stays known until it ends, so that a request
- * that crashed the endpoint is still found, and counts for nothing else.
+ * <p>Uses of a former endpoint incarnation may end late, because their ends are reported in
+ * datagrams; without a guard they would free slots of the new incarnation and count as its
+ * failures. The lease of such a use therefore stays known until the use ends, so that a request
+ * that crashed the endpoint is still identified, but is not counted otherwise.
  */
 final class SlotLeases {
 
@@ -31,24 +32,27 @@
     return leases.isEmpty();
   }
 
-  /** Returns a use; null if it is not known. */
+  /** Returns a lease; null if it is not known. */
   @Nullable SlotLease find(SlotKey key) {
     return leases.get(key);
   }
 
-  /** Returns whether a use is one of the endpoint's present life, or of one not told of yet. */
-  boolean counts(SlotLease lease) {
+  /**
+   * Returns whether a lease belongs to the current incarnation of its endpoint, or to one that this
+   * instance has not heard of yet.
+   */
+  boolean isCurrent(SlotLease lease) {
     return !directory.former(lease.life());
   }
 
-  /** Takes a use, in place of the one under its key. */
-  void hold(SlotLease lease) {
+  /** Stores a lease, replacing the one with the same key. */
+  void put(SlotLease lease) {
     drop(lease.key());
     leases.put(lease.key(), lease);
     count(lease, 1);
   }
 
-  /** Forgets a use and returns it; null if it was not known. */
+  /** Removes a lease and returns it; null if it was not known. */
   @Nullable SlotLease drop(SlotKey key) {
     SlotLease lease = leases.remove(key);
     if (lease != null) {
@@ -57,13 +61,13 @@
     return lease;
   }
 
-  /** Forgets the uses that meet a condition. */
+  /** Removes the leases that match a condition. */
   void dropAll(Predicate<SlotLease> condition) {
     List<SlotKey> keys = leases.values().stream().filter(condition).map(SlotLease::key).toList();
     keys.forEach(this::drop);
   }
 
-  /** Counts anew after an endpoint has begun another life. */
+  /** Recounts the leases after an endpoint has started a new incarnation. */
   void recount() {
     used.clear();
     counted = 0;
@@ -91,13 +95,13 @@
     return counted > online;
   }
 
-  /** Returns the uses of batch items that count. */
+  /** Returns the leases of batch items at current endpoint incarnations. */
   List<SlotLease> items() {
-    return leases.values().stream().filter(lease -> lease.batch() && counts(lease)).toList();
+    return leases.values().stream().filter(lease -> lease.batch() && isCurrent(lease)).toList();
   }
 
   private void count(SlotLease lease, int change) {
-    if (counts(lease)) {
+    if (isCurrent(lease)) {
       counted += change;
       online += lease.batch() ? 0 : change;
       used.merge(lease.endpoint(), change, Integer::sum);
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/support/SlotSearch.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/support/SlotSearch.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Looks for endpoints of a service that have a free slot for a request. */
+/** Searches the endpoints of a service for a free slot for a request. */
 final class SlotSearch {
 
   private final String service;
@@ -16,8 +16,8 @@
   private final SlotSettings settings;
   private final SlotLeases leases;
   private final Penalties penalties;
-  private final Outliers outliers;
-  private final ForeignLoad foreign;
+  private final OutlierDetector outliers;
+  private final UntrackedLoad untrackedLoad;
 
   SlotSearch(
       String service,
@@ -25,18 +25,18 @@
       SlotSettings settings,
       SlotLeases leases,
       Penalties penalties,
-      Outliers outliers,
-      ForeignLoad foreign) {
+      OutlierDetector outliers,
+      UntrackedLoad untrackedLoad) {
     this.service = service;
     this.directory = directory;
     this.settings = settings;
     this.leases = leases;
     this.penalties = penalties;
     this.outliers = outliers;
-    this.foreign = foreign;
+    this.untrackedLoad = untrackedLoad;
   }
 
-  /** Returns the slots of all endpoints, free or not. */
+  /** Returns the number of slots of all endpoints, free or not. */
   int slots() {
     return directory.usable(service).stream().mapToInt(EndpointRecord::slots).sum();
   }
@@ -66,16 +66,17 @@
   }
 
   /**
-   * Returns whether a batch item may take a slot and leave enough for online requests.
+   * Returns whether a batch item can take a slot and leave enough free slots for online requests.
    *
-   * <p>Load pattern: on a crest the number of online requests goes up and down around its mean by
-   * about its square root. An item that takes a slot in each dip is revoked a moment later and has
-   * cost the endpoint a prompt. So that many slots stay free.
+   * <p>At peak load the number of online requests fluctuates around its mean by about the square
+   * root of the mean. An item that takes a slot in each dip is revoked a moment later and has cost
+   * the endpoint the processing of a prompt. So as many slots as this square root, times a factor,
+   * stay free.
    *
-   * <p>Failure: endpoints that do not answer stay in the list for seconds, and those behind a cut
-   * for as long as it lasts. It shows as items that are revoked as soon as they have begun, again
-   * and again, since an online request finds no slot where an item saw some. Guard: a slot counts
-   * as free only at an endpoint that would get the item.
+   * <p>Endpoints that do not answer stay in the directory for seconds, and those behind a network
+   * partition for as long as it lasts. If their slots counted as free, items would be revoked as
+   * soon as they have begun, again and again, because an online request finds no free slot where an
+   * item saw some. So only free slots at endpoints that would get the item count.
    */
   boolean roomForItem(List<EndpointRecord> endpoints, Instant now) {
     int free = 0;
@@ -85,13 +86,14 @@
     return free > settings.itemReserve() * Math.sqrt(leases.online());
   }
 
-  /** Returns the endpoints that may get a request, also those that are avoided. */
+  /** Returns the endpoints that may get a request, including avoided ones. */
   List<EndpointRecord> candidates(SlotRequest request, Instant now) {
     return withoutFailing(reachable(request, now), request.dataCentre(), now);
   }
 
-  /** Returns those of some endpoints that are not avoided. */
-  List<EndpointRecord> sound(List<EndpointRecord> endpoints, String dataCentre, Instant now) {
+  /** Returns the given endpoints without the avoided ones. */
+  List<EndpointRecord> withoutAvoided(
+      List<EndpointRecord> endpoints, String dataCentre, Instant now) {
     return endpoints.stream()
         .filter(each -> !outliers.avoided(each.id(), dataCentre, now))
         .toList();
@@ -100,13 +102,14 @@
   private List<EndpointRecord> reachable(SlotRequest request, Instant now) {
     return directory.usable(service).stream()
         .filter(endpoint -> !excluded(request, endpoint))
-        .filter(endpoint -> penalties.free(endpoint, request.dataCentre(), now))
+        .filter(endpoint -> penalties.allows(endpoint, request.dataCentre(), now))
         .toList();
   }
 
   /**
-   * Returns the endpoints but those that fail most of their requests, unless these are half of
-   * them: what fails everywhere is no endpoint's fault, and nothing else would be left.
+   * Returns the endpoints without those that fail most of their requests. If at least half of the
+   * endpoints fail most of their requests, this method returns all endpoints: such a widespread
+   * failure is not the fault of single endpoints, and too few of them would be left.
    */
   private List<EndpointRecord> withoutFailing(
       List<EndpointRecord> candidates, String dataCentre, Instant now) {
@@ -118,9 +121,9 @@
     return atLeastHalf(failing, candidates.size()) ? candidates : rest;
   }
 
-  /** Returns whether a request excludes a life of an endpoint, or one that came after it. */
+  /** Returns whether a request excludes the current incarnation of an endpoint or a later one. */
   private static boolean excluded(SlotRequest request, EndpointRecord endpoint) {
-    // Asked for each endpoint and decision, mostly with nothing excluded.
+    // Fast path: called for each endpoint in each decision, mostly with nothing excluded.
     if (request.excluded().isEmpty()) {
       return false;
     }
@@ -133,7 +136,7 @@
     return false;
   }
 
-  /** Returns the best of some endpoints that have a free slot. */
+  /** Returns the best of the given endpoints that has a free slot. */
   Optional<EndpointRecord> withFreeSlot(
       List<EndpointRecord> candidates, String dataCentre, Instant now) {
     return candidates.stream()
@@ -141,7 +144,10 @@
         .min(settings.placement().order(dataCentre, endpoint -> inUse(endpoint, now)));
   }
 
-  /** Returns those of some endpoints that a data centre prefers. */
+  /**
+   * Returns those of the given endpoints that the placement prefers for requests from a data
+   * centre.
+   */
   List<EndpointRecord> preferred(List<EndpointRecord> endpoints, String dataCentre) {
     return endpoints.stream()
         .filter(endpoint -> settings.placement().prefers(endpoint, dataCentre))
@@ -149,6 +155,6 @@
   }
 
   private int inUse(EndpointRecord endpoint, Instant now) {
-    return leases.used(endpoint.id()) + foreign.at(endpoint.id(), now);
+    return leases.used(endpoint.id()) + untrackedLoad.at(endpoint.id(), now);
   }
 }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/support/SlotSettings.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/support/SlotSettings.java
@@ -3,23 +3,23 @@
 import java.time.Duration;
 
 /**
- * Limits of a coordinator.
+ * Settings of a coordinator.
  *
- * @param leaseTime time after which the uses of a silent holder are forgotten
- * @param firstPenalty time for which an endpoint gets nothing after a first failure
- * @param maxPenalty longest such time
- * @param shedPenalty time for which an endpoint gets nothing after it was full
- * @param cutPenalty time for which a data centre that seems cut off gets nothing
- * @param tryTime time for which one request alone tries an endpoint after a penalty
+ * @param leaseTime time after which the leases of a silent holder expire
+ * @param firstPenalty time for which an endpoint gets no requests after a first failure
+ * @param maxPenalty longest time for which an endpoint gets no requests after repeated failures
+ * @param shedPenalty time for which an endpoint gets no requests after it was full
+ * @param cutPenalty time for which a data centre that seems to be cut off gets no requests
+ * @param probeTime time for which a single request probes an endpoint after a penalty
  * @param outlierShare share of failures from which on an endpoint is avoided
- * @param outlierTime time for which it is avoided at first
- * @param maxOutlierTime longest such time
- * @param returnTime time after the one told for which a refused caller is expected; negative if
- *     refused callers are not told from others when they come back
- * @param lateItemsLast whether items that can no longer be in time go behind the others
- * @param itemReserve slots kept free from items, as a multiple of the square root of those that
- *     online requests use
- * @param placement which endpoint gets a request
+ * @param outlierTime time for which an endpoint is avoided when it is first found to be failing
+ * @param maxOutlierTime longest time for which an endpoint is avoided
+ * @param returnTime time after the announced moment during which a refused caller is still expected
+ *     to return; negative to treat returning callers like new ones
+ * @param lateItemsLast whether items that can no longer finish in time go behind the other items
+ * @param itemReserve slots kept free from items, as a multiple of the square root of the number of
+ *     slots that online requests use
+ * @param placement determines which endpoint gets a request
  */
 public record SlotSettings(
     Duration leaseTime,
@@ -27,7 +27,7 @@
     Duration maxPenalty,
     Duration shedPenalty,
     Duration cutPenalty,
-    Duration tryTime,
+    Duration probeTime,
     double outlierShare,
     Duration outlierTime,
     Duration maxOutlierTime,
@@ -36,10 +36,10 @@
     double itemReserve,
     Placement placement) {
 
-  /** The defaults, which the builder names. */
+  /** The default settings, as defined in {@link Builder}. */
   public static final SlotSettings DEFAULT = builder().build();
 
-  /** Returns a builder that starts from the defaults. */
+  /** Returns a builder that starts with the defaults. */
   public static Builder builder() {
     return new Builder();
   }
@@ -47,20 +47,20 @@
   /** Builds settings that differ from the defaults. */
   public static final class Builder {
 
-    /** Bears two lost renewals. */
+    /** Long enough that a lease survives two lost renewals. */
     private static final Duration LEASE_TIME = Duration.ofSeconds(3);
 
-    /** Short, since a first failure is often one cut connection. */
+    /** Short, since a first failure is often a single broken connection. */
     private static final Duration FIRST_PENALTY = Duration.ofMillis(200);
 
-    /** About as long as a crashed endpoint takes to be back. */
+    /** About as long as a crashed endpoint takes to restart. */
     private static final Duration MAX_PENALTY = Duration.ofSeconds(3);
 
     private static final Duration SHED_PENALTY = Duration.ofMillis(100);
 
     private static final Duration CUT_PENALTY = Duration.ofMillis(700);
 
-    private static final Duration TRY_TIME = Duration.ofMillis(200);
+    private static final Duration PROBE_TIME = Duration.ofMillis(200);
 
     private static final Duration OUTLIER_TIME = Duration.ofSeconds(2);
 
@@ -80,25 +80,28 @@
       return this;
     }
 
-    /** Sets the time for which a refused caller is expected. */
+    /** Sets the time during which a refused caller is expected to return. */
     public Builder returnTime(Duration time) {
       returnTime = time;
       return this;
     }
 
-    /** Sets whether items that can no longer be in time go behind the others. */
+    /** Sets whether items that can no longer finish in time go behind the other items. */
     public Builder lateItemsLast(boolean last) {
       lateItemsLast = last;
       return this;
     }
 
-    /** Sets how many slots are kept free from items. */
+    /**
+     * Sets how many slots are kept free from items, as a multiple of the square root of the number
+     * of slots that online requests use.
+     */
     public Builder itemReserve(double factor) {
       itemReserve = factor;
       return this;
     }
 
-    /** Sets which endpoint gets a request. */
+    /** Sets the placement, which determines which endpoint gets a request. */
     Builder placement(Placement order) {
       placement = order;
       return this;
@@ -112,7 +115,7 @@
           MAX_PENALTY,
           SHED_PENALTY,
           CUT_PENALTY,
-          TRY_TIME,
+          PROBE_TIME,
           outlierShare,
           OUTLIER_TIME,
           MAX_OUTLIER_TIME,
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/support/Waiter.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/support/Waiter.java
@@ -8,16 +8,16 @@
  * A request that waits for a slot.
  *
  * @param request the request
- * @param returning whether it was refused before
- * @param late whether it is a batch item that goes behind those which can be in time
- * @param since when it came
- * @param until when it has waited long enough
+ * @param returning whether the request was refused before
+ * @param late whether this is a batch item that goes behind items that can finish in time
+ * @param since when the request arrived
+ * @param until when the request is refused if it still waits
  */
 record Waiter(SlotRequest request, boolean returning, boolean late, Instant since, Instant until) {
 
   /**
-   * Online requests before items, items that can be in time before others, then by rank, newcomers
-   * first, then by how long they wait.
+   * Orders online requests before items, then items that can finish in time before others, then by
+   * rank, then new requests before returning ones, then by time of arrival.
    */
   static final Comparator<Waiter> ORDER =
       Comparator.comparing((Waiter waiter) -> waiter.request().batch())
@@ -28,7 +28,7 @@
           .thenComparing(waiter -> waiter.request().key().holder())
           .thenComparing(waiter -> waiter.request().key().number());
 
-  /** Returns the request with another place among the batch items. */
+  /** Returns this request with another position among the batch items. */
   Waiter withLate(boolean nowLate) {
     return new Waiter(request, returning, nowLate, since, until);
   }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/support/WaitingRequests.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/support/WaitingRequests.java
@@ -11,11 +11,11 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Requests that wait for a slot, in the order in which they get one.
+ * The requests that wait for a slot, in the order in which they get one.
  *
- * <p>Load pattern: after an outage of a large fleet thousands of items wait, each asks anew every
- * two seconds, and online requests come and go all the while. A place in the order is found in
- * logarithmic time, and whether a request waits in constant time.
+ * <p>After an outage of a large fleet thousands of items wait, and the holder of each repeats its
+ * request every two seconds, while online requests come and go. So the position in the order is
+ * found in logarithmic time, and whether a request waits in constant time.
  */
 final class WaitingRequests {
 
@@ -27,17 +27,20 @@
     return ordered.isEmpty();
   }
 
-  /** Returns a request that waits; null if it does not. */
+  /** Returns a waiting request; null if the request does not wait. */
   @Nullable Waiter find(SlotKey key) {
     return byKey.get(key);
   }
 
-  /** Returns the number of online requests. */
+  /** Returns the number of waiting online requests. */
   int online() {
     return online;
   }
 
-  /** Returns the number of requests that get a slot before one that is not among them. */
+  /**
+   * Returns the number of waiting requests that get a slot before the given request, which need not
+   * be waiting itself.
+   */
   int before(Waiter waiter) {
     return ordered.headSet(waiter).size();
   }
@@ -56,7 +59,7 @@
     }
   }
 
-  /** Removes and returns those that have waited long enough. */
+  /** Removes and returns the requests that have waited for their maximum time. */
   List<Waiter> removeExpired(Instant now) {
     List<Waiter> expired =
         ordered.stream().filter(waiter -> !now.isBefore(waiter.until())).toList();
@@ -64,19 +67,19 @@
     return expired;
   }
 
-  /** Returns the batch items. */
+  /** Returns the waiting batch items. */
   List<Waiter> items() {
     return ordered.stream().filter(waiter -> waiter.request().batch()).toList();
   }
 
-  /** Puts a request at another place in the order. */
+  /** Moves a request to another position in the order. */
   void replace(Waiter former, Waiter next) {
     ordered.remove(former);
     ordered.add(next);
     byKey.put(next.request().key(), next);
   }
 
-  /** Returns an iterator that can remove. */
+  /** Returns an iterator in that order, which supports removal. */
   Iterator<Waiter> inOrder() {
     Iterator<Waiter> each = ordered.iterator();
     return new Iterator<>() {
@@ -97,7 +100,7 @@
       @Override
       public void remove() {
         each.remove();
-        forget(Objects.requireNonNull(last, "next() comes first"));
+        forget(Objects.requireNonNull(last, "next() must be called before remove()"));
       }
     };
   }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/support/package-info.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/support/package-info.java
@@ -1,4 +1,7 @@
-/** Decisions about slots. */
+/**
+ * Default implementation of the slot coordinator: queueing, placement, penalties and outlier
+ * detection.
+ */
 @NullMarked
 package io.hawthornlb.gateway.slot.support;
 
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/slot/support/BacklogReplay.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/slot/support/BacklogReplay.java
@@ -12,8 +12,9 @@
 import java.util.Random;
 
 /**
- * A backlog of items beside waves of online requests, in virtual time: what waits after all
- * gateways were restarted. An item that gives way asks at once for what it still has to run.
+ * Simulates, in virtual time, a backlog of batch items beside waves of online requests, as it
+ * exists after all gateways have restarted. A preempted item requests another slot at once for its
+ * remaining work.
  */
 final class BacklogReplay {
 
@@ -26,7 +27,10 @@
   private static final int JOB_EVERY_MILLIS = 2_000;
   private static final int BACKLOG = 300;
 
-  /** The first items that are done tell that they run longer than was assumed. */
+  /**
+   * Share of an item's length that its holder assumes; the first finished items show that items run
+   * longer than assumed.
+   */
   private static final double ASSUMED_SHARE = 0.85;
 
   private static final int JOB_ITEMS = 10;
@@ -36,11 +40,11 @@
   private static final int RENEW_MILLIS = 1_000;
 
   private final Random random;
-  private final boolean looksAgain;
+  private final boolean checksRepeatedly;
   private final CoordinatorFixture fixture;
   private final Instant start;
   private final VirtualTime time = new VirtualTime();
-  private final Map<SlotKey, SlotRequest> asked = new HashMap<>();
+  private final Map<SlotKey, SlotRequest> pending = new HashMap<>();
   private final Map<SlotKey, Runnable> onGrant = new HashMap<>();
   private final Map<SlotKey, Runnable> onRefusal = new HashMap<>();
   private final Map<SlotKey, Runnable> onRevoke = new HashMap<>();
@@ -48,18 +52,24 @@
   private int inTime;
   private int requests;
   private int soon;
-  private int gaveWay;
+  private int preempted;
   private long waited;
 
   /**
-   * Items and those in time, online requests and those that had a slot soon, items that gave way,
-   * and milliseconds that requests waited in all.
+   * Result of a simulation.
+   *
+   * @param items number of items
+   * @param inTime items that finished in time
+   * @param requests number of online requests
+   * @param soon online requests that got a slot within 100 ms
+   * @param preempted number of preemptions of items
+   * @param waited total time that online requests waited, in milliseconds
    */
-  record Result(int items, int inTime, int requests, int soon, int gaveWay, long waited) {}
+  record Result(int items, int inTime, int requests, int soon, int preempted, long waited) {}
 
   BacklogReplay(long seed, SlotSettings settings) {
     random = new Random(seed);
-    looksAgain = settings.lateItemsLast();
+    checksRepeatedly = settings.lateItemsLast();
     fixture = new CoordinatorFixture(settings);
     start = fixture.now;
     for (int i = 0; i < ENDPOINTS; i++) {
@@ -69,7 +79,7 @@
 
   Result run() {
     for (int i = 0; i < BACKLOG / JOB_ITEMS; i++) {
-      // They have been waiting for up to 15 s.
+      // These items have been waiting for up to 15 s.
       job(0, 3_000 + i * 15_000 * JOB_ITEMS / BACKLOG);
     }
     for (int at = 0; at < ARRIVALS_MILLIS; at += JOB_EVERY_MILLIS) {
@@ -84,7 +94,7 @@
     time.every(TICK_MILLIS, RUN_MILLIS, () -> take(fixture.tick()));
     time.every(RENEW_MILLIS, RUN_MILLIS, fixture::renew);
     time.runUntil(RUN_MILLIS, millis -> fixture.now = start.plusMillis(millis));
-    return new Result(items, inTime, requests, soon, gaveWay, waited);
+    return new Result(items, inTime, requests, soon, preempted, waited);
   }
 
   private void job(int arrives, int dueMillis) {
@@ -102,19 +112,24 @@
   }
 
   private void askForItem(int dueMillis, int work, int left) {
-    // The length of an item is not known before; what is told is the usual one.
-    int told = (int) (ASSUMED_SHARE * Math.max(ITEM_MILLIS / 6, ITEM_MILLIS - (work - left)));
-    SlotRequest request = fixture.item(ranked(dueMillis, told), Duration.ofMillis(told));
+    // The length of an item is not known in advance; its holder reports the usual length.
+    int reportedLeft =
+        (int) (ASSUMED_SHARE * Math.max(ITEM_MILLIS / 6, ITEM_MILLIS - (work - left)));
+    SlotRequest request =
+        fixture.item(ranked(dueMillis, reportedLeft), Duration.ofMillis(reportedLeft));
     onGrant.put(request.key(), () -> runItem(request, dueMillis, work, left));
     onRefusal.put(request.key(), () -> askForItem(dueMillis, work, left));
-    asked.put(request.key(), request);
+    pending.put(request.key(), request);
     take(fixture.ask(request));
   }
 
-  /** Returns the due time; an hour later if its holder alone tells that it cannot be in time. */
+  /**
+   * Returns the due time that orders the item. Without repeated checks by the coordinator, an item
+   * that cannot finish in time gets a due time an hour later.
+   */
   private Instant ranked(int dueMillis, int left) {
-    boolean behind = !looksAgain && time.now() + left > dueMillis;
-    return start.plusMillis(dueMillis).plus(behind ? Duration.ofHours(1) : Duration.ZERO);
+    boolean last = !checksRepeatedly && time.now() + left > dueMillis;
+    return start.plusMillis(dueMillis).plus(last ? Duration.ofHours(1) : Duration.ZERO);
   }
 
   private void runItem(SlotRequest request, int dueMillis, int work, int left) {
@@ -142,7 +157,7 @@
           waited += time.now() - arrived;
           time.at(time.now() + use, () -> release(request));
         });
-    asked.put(request.key(), request);
+    pending.put(request.key(), request);
     take(fixture.ask(request));
   }
 
@@ -150,22 +165,23 @@
     for (SlotAnswer answer : answers) {
       if (answer instanceof SlotAnswer.Revoked) {
         fixture.ended(answer.key());
-        Runnable giveWay = onRevoke.remove(answer.key());
-        if (giveWay != null) {
-          gaveWay++;
-          // Datagrams take their time; the item asks after the request that needs its slot.
-          time.at(time.now() + 1, giveWay);
+        Runnable preempt = onRevoke.remove(answer.key());
+        if (preempt != null) {
+          preempted++;
+          // Datagrams take time to arrive, so the item sends its request after the request that
+          // needs its slot.
+          time.at(time.now() + 1, preempt);
         }
       } else if (answer instanceof SlotAnswer.Granted granted) {
         onRefusal.remove(answer.key());
-        fixture.began(asked.remove(answer.key()), granted.endpoint());
+        fixture.began(pending.remove(answer.key()), granted.endpoint());
         onGrant.remove(answer.key()).run();
       } else if (answer instanceof SlotAnswer.Refused) {
-        asked.remove(answer.key());
+        pending.remove(answer.key());
         onGrant.remove(answer.key());
-        Runnable askAgain = onRefusal.remove(answer.key());
-        if (askAgain != null) {
-          time.at(time.now() + 100, askAgain);
+        Runnable retry = onRefusal.remove(answer.key());
+        if (retry != null) {
+          time.at(time.now() + 100, retry);
         }
       }
     }
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/slot/support/ConnectionReplay.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/slot/support/ConnectionReplay.java
@@ -20,8 +20,9 @@
 import java.util.Set;
 
 /**
- * Waves of requests of many gateways that serve few each, at endpoints of four data centres, in
- * virtual time; counts the connections that the gateways open, each of which keeps its own.
+ * Simulates, in virtual time, waves of requests from many gateways that handle few requests each,
+ * to endpoints in four data centres. Counts the connections that the gateways open; each gateway
+ * has a connection pool of its own.
  */
 final class ConnectionReplay {
 
@@ -38,14 +39,14 @@
   private static final int RENEW_MILLIS = 1_000;
 
   private final Random random;
-  private final int keptMillis;
+  private final int keepAliveMillis;
   private final EndpointDirectory directory = new EndpointDirectory();
   private final DefaultSlotCoordinator coordinator;
   private final VirtualTime time = new VirtualTime();
   private final Instant start = Instant.parse("2026-01-01T00:00:00Z");
   private final Map<String, Map<Long, SlotUse>> uses = new HashMap<>();
   private final Map<SlotKey, SlotRequest> waiting = new HashMap<>();
-  private final Map<String, Deque<Integer>> kept = new HashMap<>();
+  private final Map<String, Deque<Integer>> idleConnections = new HashMap<>();
   private final Map<String, Integer> running = new HashMap<>();
   private Instant now = start;
   private long numbers;
@@ -55,23 +56,24 @@
   private long load;
 
   /**
-   * What a replay gave.
+   * Result of a simulation.
    *
    * @param served requests that got a slot
-   * @param opened connections that were opened for them
-   * @param crossed requests that went to another data centre
-   * @param load requests that ran at the endpoint of each request, in all
+   * @param opened connections that were opened for these requests
+   * @param crossed requests that were sent to another data centre
+   * @param load sum, over all requests, of the requests that ran at the endpoint when the request
+   *     started
    */
   record Result(int served, int opened, int crossed, long load) {}
 
   /**
-   * Creates a replay.
+   * Creates a simulation.
    *
-   * @param keptMillis time for which a connection may rest
+   * @param keepAliveMillis time for which an idle connection is kept open
    */
-  ConnectionReplay(long seed, int keptMillis) {
+  ConnectionReplay(long seed, int keepAliveMillis) {
     this.random = new Random(seed);
-    this.keptMillis = keptMillis;
+    this.keepAliveMillis = keepAliveMillis;
     this.coordinator =
         new DefaultSlotCoordinator(SERVICE, directory, SlotSettings.DEFAULT, fingerprint -> {});
     for (int i = 0; i < ENDPOINTS; i++) {
@@ -127,14 +129,15 @@
     load += running.merge(endpoint, 1, Integer::sum);
     connect(holder + endpoint);
     SlotUse use = new SlotUse(request.key().number(), granted.life(), false, 0, Duration.ZERO);
-    uses.computeIfAbsent(holder, any -> new HashMap<>()).put(use.number(), use);
+    uses.computeIfAbsent(holder, key -> new HashMap<>()).put(use.number(), use);
     int length = USE_MILLIS / 2 + random.nextInt(USE_MILLIS);
     time.at(time.now() + length, () -> end(request.key(), endpoint));
   }
 
-  private void connect(String way) {
-    Deque<Integer> connections = kept.computeIfAbsent(way, any -> new ArrayDeque<>());
-    connections.removeIf(since -> time.now() - since >= keptMillis);
+  private void connect(String poolKey) {
+    Deque<Integer> connections =
+        idleConnections.computeIfAbsent(poolKey, key -> new ArrayDeque<>());
+    connections.removeIf(since -> time.now() - since >= keepAliveMillis);
     if (connections.poll() == null) {
       opened++;
     }
@@ -143,7 +146,7 @@
   private void end(SlotKey key, String endpoint) {
     running.merge(endpoint, -1, Integer::sum);
     uses.get(key.holder()).remove(key.number());
-    kept.get(key.holder() + endpoint).push(time.now());
+    idleConnections.get(key.holder() + endpoint).push(time.now());
     take(coordinator.release(key, SlotOutcome.ANSWERED, now));
   }
 
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/slot/support/CoordinatorCostTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/slot/support/CoordinatorCostTest.java
@@ -14,9 +14,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Callers get late answers on the crest of a large fleet although slots are free: the coordinator
- * of their service needs longer for a decision than a slot takes to come free, because it looks at
- * each endpoint for each request that waits. A small instance has 0.36 of a core.
+ * Guards against a coordinator that needs longer for a decision than a slot takes to become free,
+ * because it examines each endpoint for each waiting request. At the load peak of a large fleet
+ * callers would then get late answers although slots are free. A small instance has 0.36 of a CPU
+ * core.
  */
 class CoordinatorCostTest {
 
@@ -25,7 +26,10 @@
   private static final int WAITING = 300;
   private static final int ROUNDS = 3_000;
 
-  /** Decisions a second on a crest of 800 requests a second: each asks and releases. */
+  /**
+   * Decisions per second at a peak of 800 requests per second, each of which requests and releases
+   * a slot.
+   */
   private static final int DECISIONS_PER_SECOND = 1_600;
 
   private final CoordinatorFixture fixture = new CoordinatorFixture();
@@ -33,7 +37,7 @@
   private final Deque<SlotRequest> running = new ArrayDeque<>();
 
   @Test
-  void decidesOnACrestWithASmallPartOfACore() {
+  void decidesAtPeakLoadWithASmallPartOfACore() {
     for (int i = 0; i < ENDPOINTS; i++) {
       fixture.endpoint("e" + i, "d" + i % 4, SLOTS);
     }
@@ -45,12 +49,12 @@
     replay();
     Duration each = Duration.ofNanos((System.nanoTime() - began) / (2 * ROUNDS));
     double share = each.toNanos() * 1e-9 * DECISIONS_PER_SECOND;
-    String seen = each.toNanos() / 1_000 + " us a decision, " + share + " of a core";
+    String seen = each.toNanos() / 1_000 + " us per decision, " + share + " of a core";
     System.out.println("coordinator cost: " + seen);
     assertTrue(share < 0.5, seen);
   }
 
-  /** Ends the oldest use and asks anew, again and again; others wait all the while. */
+  /** Repeatedly ends the oldest use and requests a slot; other requests wait all the while. */
   private void replay() {
     for (int round = 0; round < ROUNDS; round++) {
       fixture.advance(Duration.ofNanos(1_000_000_000L / DECISIONS_PER_SECOND));
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/slot/support/CoordinatorFixture.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/slot/support/CoordinatorFixture.java
@@ -16,7 +16,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** A coordinator of one service, with its clock. */
+/** A coordinator of one service, with a controllable clock. */
 final class CoordinatorFixture {
 
   static final String SERVICE = "engine";
@@ -50,7 +50,7 @@
     return request("a", true, due.toEpochMilli(), Set.of());
   }
 
-  /** Returns a batch item. */
+  /** Returns a request for a batch item. */
   SlotRequest item(Instant due, Duration work) {
     numbers++;
     return new SlotRequest(
@@ -83,12 +83,14 @@
     return coordinator.request(request, now);
   }
 
-  /** Looks at the time, as a gateway does that coordinates; returns what it has to tell. */
+  /**
+   * Calls {@code tick}, as the coordinating gateway does periodically; returns the answers to send.
+   */
   List<SlotAnswer> tick() {
     return coordinator.tick(now);
   }
 
-  /** Takes that a request uses its slot from now on, until {@link #ended}. */
+  /** Records that a request uses its slot from now on, until {@link #ended}. */
   void began(SlotRequest request, String endpoint) {
     EndpointLife life = EndpointLife.ofUnknownStart(endpoint);
     uses.put(
@@ -100,12 +102,12 @@
     uses.remove(key);
   }
 
-  /** Renews all uses, as their holders do every second. */
+  /** Renews all leases, as their holders do every second. */
   void renew() {
     coordinator.renew("holder", List.copyOf(uses.values()), now);
   }
 
-  /** Returns the endpoint that a request is granted at once. */
+  /** Sends a request that must be granted at once, and returns the endpoint. */
   String granted(SlotRequest request) {
     for (SlotAnswer answer : ask(request)) {
       if (answer instanceof SlotAnswer.Granted granted && granted.key().equals(request.key())) {
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/slot/support/DefaultSlotCoordinatorTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/slot/support/DefaultSlotCoordinatorTest.java
@@ -26,11 +26,11 @@
   private final CoordinatorFixture fixture = new CoordinatorFixture();
 
   /**
-   * Streams end in the middle when a data centre is cut off, though slots were free on their side
-   * of the border. They were placed by free slots alone.
+   * Guards against placement by free slots alone: streams to another data centre break when that
+   * data centre is cut off, although slots were free in their own.
    */
   @Test
-  void placesNearbyWhileASlotIsFreeThere() {
+  void prefersTheDataCentreOfTheGatewayWhileASlotIsFreeThere() {
     fixture.endpoint("far", "b", 8).endpoint("near", "a", 1).endpoint("nearer", "a", 2);
     assertEquals("near", fixture.granted(fixture.online("a")));
     assertEquals("nearer", fixture.granted(fixture.online("a")));
@@ -39,7 +39,7 @@
   }
 
   @Test
-  void placesOnTheLeastUsedAmongThoseNearby() {
+  void prefersTheLeastUsedEndpointInTheDataCentre() {
     fixture.endpoint("e1", "a", 8).endpoint("e2", "a", 8).endpoint("e3", "a", 8);
     assertEquals("e1", fixture.granted(fixture.online("a")));
     assertEquals("e2", fixture.granted(fixture.online("a")));
@@ -48,7 +48,7 @@
   }
 
   @Test
-  void answersARepeatedQuestionAlike() {
+  void givesARepeatedRequestTheSameAnswer() {
     fixture.endpoint("e1", "a", 1);
     SlotRequest request = fixture.online("a");
     assertEquals("e1", fixture.granted(request));
@@ -59,7 +59,7 @@
   }
 
   @Test
-  void takesTheSlotOfTheItemThatIsDueLast() {
+  void revokesTheItemThatIsDueLast() {
     fixture.endpoint("e1", "a", 2);
     SlotRequest early = fixture.batch(fixture.now.plusSeconds(5));
     SlotRequest late = fixture.batch(fixture.now.plusSeconds(9));
@@ -73,11 +73,11 @@
   }
 
   /**
-   * Streams cross the border of a data centre on a crest though items run on their side, and end
-   * when it is cut off.
+   * Guards against streams that go to another data centre at peak load although batch items run in
+   * their own; they break when the other data centre is cut off.
    */
   @Test
-  void revokesAnItemNearbyFirst() {
+  void revokesAnItemInTheSameDataCentreFirst() {
     fixture.endpoint("near", "a", 1).endpoint("far", "b", 1);
     SlotRequest soon = fixture.item(fixture.now.plusSeconds(9), Duration.ofSeconds(4));
     SlotRequest later = fixture.item(fixture.now.plusSeconds(12), Duration.ofSeconds(4));
@@ -87,20 +87,23 @@
     assertEquals(new SlotAnswer.Revoked(later.key()), fixture.ask(fixture.online("a")).get(0));
   }
 
-  /** An item that became late while it ran gives way before one that is due later, but in time. */
+  /**
+   * An item that became late while it ran is revoked before an item that is due later but can
+   * finish in time.
+   */
   @Test
-  void revokesAnItemThatCanNoLongerBeInTimeFirst() {
+  void revokesAnItemThatCanNoLongerFinishInTimeFirst() {
     fixture.endpoint("e1", "a", 2);
-    SlotRequest hopeless = fixture.item(fixture.now.plusSeconds(2), Duration.ofSeconds(4));
+    SlotRequest late = fixture.item(fixture.now.plusSeconds(2), Duration.ofSeconds(4));
     SlotRequest other = fixture.item(fixture.now.plusSeconds(9), Duration.ofSeconds(4));
-    fixture.granted(hopeless);
+    fixture.granted(late);
     fixture.granted(other);
     List<SlotAnswer> answers = fixture.ask(fixture.online("a"));
-    assertEquals(new SlotAnswer.Revoked(hopeless.key()), answers.get(0));
+    assertEquals(new SlotAnswer.Revoked(late.key()), answers.get(0));
   }
 
   @Test
-  void grantsOnlineRequestsFirstAndItemsByTheirDueTime() {
+  void grantsOnlineRequestsFirstAndThenItemsByDueTime() {
     fixture.endpoint("e1", "a", 4);
     List<SlotRequest> running = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
@@ -125,8 +128,9 @@
   }
 
   /**
-   * A caller waits its whole objective in a queue, is late, and has kept others waiting. The wait
-   * was known to be too long from the start: each slot serves one request in half a second.
+   * Guards against a request that waits for its whole maximum time, is late, and delays others,
+   * although the wait was known to be too long from the start: each slot serves one request in half
+   * a second.
    */
   @Test
   void refusesAtOnceWhenTheExpectedWaitIsTooLong() {
@@ -138,7 +142,7 @@
   }
 
   @Test
-  void refusesThoseThatWaitedTooLong() {
+  void refusesRequestsThatWaitedTooLong() {
     fixture.endpoint("e1", "a", 8);
     for (int i = 0; i < 8; i++) {
       fixture.granted(fixture.online("a"));
@@ -153,11 +157,11 @@
   }
 
   /**
-   * Callers find no slot though none is in use. A gateway was killed while it held slots, and so
-   * never released them.
+   * Guards against slots that stay in use forever because a gateway was killed before it released
+   * them.
    */
   @Test
-  void forgetsHoldersThatDoNotRenew() {
+  void dropsLeasesThatAreNotRenewed() {
     fixture.endpoint("e1", "a", 1);
     fixture.granted(fixture.online("a"));
     fixture.advance(Duration.ofSeconds(4));
@@ -167,18 +171,18 @@
   }
 
   /**
-   * Two requests share a slot after a coordinator was killed. The next coordinator knew nothing of
-   * the uses that the first one had granted, until their holders renewed them.
+   * Guards against two requests in one slot after the coordinator was killed. The next coordinator
+   * learns of the leases that the former one granted only when their holders renew them.
    */
   @Test
-  void learnsUsesFromTheirHolders() {
+  void learnsLeasesFromTheirHolders() {
     fixture.endpoint("e1", "a", 1).endpoint("e2", "b", 1);
     fixture.coordinator.renew("other", List.of(new SlotUse(7, "e1", false, 0)), fixture.now);
     assertEquals("e2", fixture.granted(fixture.online("a")));
   }
 
   @Test
-  void dropsUsesThatTheirHolderNoLongerNames() {
+  void dropsLeasesThatTheirHolderNoLongerLists() {
     fixture.endpoint("e1", "a", 1);
     fixture.granted(fixture.online("a"));
     fixture.advance(Duration.ofSeconds(2));
@@ -187,11 +191,11 @@
   }
 
   /**
-   * While a data centre is cut off, each of its endpoints costs a caller a connection attempt. The
-   * first two failures show that the way there is cut.
+   * Guards against each endpoint of a data centre that is cut off costing a caller a connection
+   * attempt. The first two failures show that the network path is cut.
    */
   @Test
-  void passesOverADataCentreOnceTwoOfItsEndpointsFailed() {
+  void avoidsADataCentreAfterTwoOfItsEndpointsFailed() {
     fixture.endpoint("b1", "b", 8).endpoint("b2", "b", 8).endpoint("b3", "b", 8);
     fixture.endpoint("a1", "a", 8);
     fail("b1");
@@ -203,11 +207,11 @@
   }
 
   /**
-   * At the end of a penalty all that wait go to an endpoint that is still dark, and each loses a
-   * connection attempt. One of them is enough to find out.
+   * Guards against all waiting requests going to an endpoint that still does not respond when its
+   * penalty ends, where each loses a connection attempt. One probe request is enough.
    */
   @Test
-  void letsOneRequestTryAfterAPenalty() {
+  void sendsOneProbeRequestAfterAPenalty() {
     fixture.endpoint("b1", "a", 8).endpoint("a1", "a", 2);
     fail("b1");
     fixture.advance(SlotSettings.DEFAULT.firstPenalty());
@@ -217,11 +221,11 @@
   }
 
   /**
-   * Callers wait in the queues of endpoints after all gateways lost power. The endpoints still run
-   * what they had, of which the new coordinator knows nothing but what they tell.
+   * Guards against requests that queue at endpoints after all gateways lost power. The endpoints
+   * still run their former requests, which the new coordinator knows only from the reported load.
    */
   @Test
-  void countsWhatAnEndpointTellsBeyondWhatIsHandedOut() {
+  void countsReportedLoadBeyondTheGrantedSlots() {
     fixture.endpoint("a1", "a", 8).endpoint("b1", "b", 8);
     SlotRequest first = fixture.online("a");
     assertEquals("a1", fixture.granted(first));
@@ -235,52 +239,53 @@
   }
 
   /**
-   * One endpoint after the other crashes. A caller sends a request again that crashes whoever runs
-   * it, each time under another id and at another gateway.
+   * Guards against a request that crashes each endpoint that runs it, while its caller resends it
+   * each time under another id and to another gateway.
    */
   @Test
   void givesNoSlotToARequestThatCrashedThreeEndpoints() {
     fixture.endpoint("e1", "a", 8);
     for (int crash = 0; crash < 3; crash++) {
-      SlotRequest request = deadly(crash);
+      SlotRequest request = crashing(crash);
       fixture.granted(request);
       fixture.release(request, SlotOutcome.FAILED);
       fixture.advance(Duration.ofSeconds(4));
     }
-    assertInstanceOf(SlotAnswer.Refused.class, fixture.ask(deadly(3)).get(0));
+    assertInstanceOf(SlotAnswer.Refused.class, fixture.ask(crashing(3)).get(0));
     assertEquals("e1", fixture.granted(fixture.online("a")));
     fixture.advance(Duration.ofSeconds(61));
-    fixture.granted(deadly(4));
+    fixture.granted(crashing(4));
   }
 
   /**
-   * A store hand's check is refused for a minute although the endpoints are well. A cut kept three
-   * connection attempts of it from opening, and each was counted as an endpoint that it crashed.
+   * Guards against a request that is refused for a minute although the endpoints are healthy. A
+   * network partition made three of its connection attempts fail, and each attempt was counted as a
+   * crash of an endpoint.
    */
   @Test
-  void countsNoCrashForARequestThatReachedNoEndpoint() {
+  void countsNoCrashIfTheRequestReachedNoEndpoint() {
     fixture.endpoint("e1", "a", 8);
     for (int attempt = 0; attempt < 3; attempt++) {
-      SlotRequest request = deadly(attempt);
+      SlotRequest request = crashing(attempt);
       fixture.granted(request);
       fixture.release(request, SlotOutcome.UNREACHED);
       fixture.advance(Duration.ofSeconds(4));
     }
-    assertEquals("e1", fixture.granted(deadly(3)));
+    assertEquals("e1", fixture.granted(crashing(3)));
   }
 
   /**
-   * Each new coordinator loses three endpoints more to a request that crashes whoever runs it,
-   * because what the former one had counted died with it.
+   * Guards against each new coordinator losing three more endpoints to a crashing request because
+   * the counts of the former coordinator were lost with it.
    */
   @Test
-  void barsWhatAnotherCoordinatorHasBarred() {
+  void blocksARequestThatAnotherCoordinatorHasBlocked() {
     fixture.endpoint("e1", "a", 8);
     fixture.coordinator.bar(4_711, fixture.now);
-    assertInstanceOf(SlotAnswer.Refused.class, fixture.ask(deadly(0)).get(0));
+    assertInstanceOf(SlotAnswer.Refused.class, fixture.ask(crashing(0)).get(0));
   }
 
-  private static SlotRequest deadly(int attempt) {
+  private static SlotRequest crashing(int attempt) {
     return new SlotRequest(
         new SlotKey("gateway-" + attempt, 1),
         CoordinatorFixture.SERVICE,
@@ -293,7 +298,7 @@
   }
 
   @Test
-  void leavesRoomForTheUpsAndDownsOfACrest() {
+  void keepsSlotsFreeForFluctuationsOfOnlineLoad() {
     fixture.endpoint("e1", "a", 14);
     for (int i = 0; i < 9; i++) {
       fixture.granted(fixture.online("a"));
@@ -305,12 +310,12 @@
   }
 
   /**
-   * Letters come late after a crash. While the endpoint is still in the list each item of the crest
-   * begins and gives way some 10 ms later, over and over: its slots counted as free, and no request
-   * found one there.
+   * Guards against items that start and are preempted about 10 ms later, over and over, at peak
+   * load after a crash. While the crashed endpoint is still in the directory, its slots counted as
+   * free, but no request was placed there.
    */
   @Test
-  void countsNoSlotAsFreeThatNobodyGets() {
+  void countsNoFreeSlotsAtAnEndpointThatGetsNoRequests() {
     fixture.endpoint("b1", "b", 8).endpoint("a1", "a", 8);
     for (int i = 0; i < 15; i++) {
       fixture.granted(fixture.online("a"));
@@ -329,7 +334,7 @@
   }
 
   @Test
-  void placesElsewhereWhileAnEndpointIsSuspected() {
+  void avoidsAnEndpointThatIsSuspectedToBeSilent() {
     fixture.endpoint("a1", "a", 8).endpoint("b1", "b", 8);
     SlotRequest silent = fixture.online("a");
     assertEquals("a1", fixture.granted(silent));
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/slot/support/FastErrorReplay.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/slot/support/FastErrorReplay.java
@@ -3,7 +3,10 @@
 import io.hawthornlb.gateway.slot.SlotOutcome;
 import io.hawthornlb.gateway.slot.SlotRequest;
 
-/** A fleet of which five endpoints answer with errors at once, for two seconds of each six. */
+/**
+ * Simulates a fleet in which five endpoints answer with errors immediately, for two seconds out of
+ * every six.
+ */
 final class FastErrorReplay extends FleetReplay {
 
   private static final int FAILING = 5;
@@ -16,7 +19,7 @@
   private int errors;
   private int served;
 
-  /** What became of the requests; the rest was refused. */
+  /** Counts of requests by outcome; requests in neither count were refused. */
   record Result(int asked, int served, int errors) {
 
     double errorShare() {
@@ -29,10 +32,11 @@
   }
 
   /**
-   * Creates a replay.
+   * Creates a simulation.
    *
    * @param failingShare share of requests that failing endpoints answer with an error
-   * @param chanceShare share of requests that each endpoint answers with an error
+   * @param chanceShare share of requests that every other endpoint, or a failing one outside its
+   *     failing time, answers with an error
    */
   FastErrorReplay(long seed, SlotSettings settings, double failingShare, double chanceShare) {
     super(seed, settings, FAILING);
@@ -58,7 +62,10 @@
     release(request, fails ? SlotOutcome.ERROR : SlotOutcome.ANSWERED);
   }
 
-  /** They fail over the second half of a crest and its end. */
+  /**
+   * Returns whether an endpoint is failing now: faulty endpoints fail during the second half of a
+   * load peak and at its end.
+   */
   private boolean failsNow(String endpoint) {
     return faulty(endpoint) && time.now() % 6_000 >= 4_000;
   }
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/slot/support/FastErrorReplayTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/slot/support/FastErrorReplayTest.java
@@ -11,42 +11,49 @@
   private static final double PART = 0.4;
   private static final double CHANCE = 0.01;
 
-  /** Settings under which no endpoint ever counts as failing. */
-  private static final SlotSettings NAIVE =
+  /** Baseline settings, under which no endpoint ever counts as failing. */
+  private static final SlotSettings BASELINE =
       SlotSettings.builder().outlierShare(Double.POSITIVE_INFINITY).build();
 
-  /** Guards against endpoints that fail all at once, are free at once and get the next ones. */
+  /**
+   * Guards against endpoints that fail every request at once: their slots are free again
+   * immediately, so they get the next requests, too.
+   */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5})
-  void losesOneInAHundredAtMostToEndpointsThatFailAll(long seed) {
+  void losesAtMostOneInAHundredToEndpointsThatFailAllRequests(long seed) {
     FastErrorReplay.Result result = replay(seed, SlotSettings.DEFAULT, ALL, 0);
-    FastErrorReplay.Result naive = replay(seed, NAIVE, ALL, 0);
-    System.out.println("fast errors: seed " + seed + " " + result + ", naive " + naive);
+    FastErrorReplay.Result baseline = replay(seed, BASELINE, ALL, 0);
+    System.out.println("fast errors: seed " + seed + " " + result + ", baseline " + baseline);
     assertTrue(result.errorShare() <= 0.01, result.toString());
-    assertTrue(result.servedShare() >= naive.servedShare(), result + " against " + naive);
+    assertTrue(
+        result.servedShare() >= baseline.servedShare(), result + " compared with " + baseline);
   }
 
-  /** Guards against endpoints that fail two in five and are free more often than others. */
+  /**
+   * Guards against endpoints that fail two requests in five and so have free slots more often than
+   * other endpoints.
+   */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5})
-  void losesAQuarterAtMostToEndpointsThatFailAPart(long seed) {
+  void losesAtMostAQuarterToEndpointsThatFailSomeRequests(long seed) {
     FastErrorReplay.Result result = replay(seed, SlotSettings.DEFAULT, PART, 0);
-    FastErrorReplay.Result naive = replay(seed, NAIVE, PART, 0);
-    String seen = result + " against " + naive;
+    FastErrorReplay.Result baseline = replay(seed, BASELINE, PART, 0);
+    String seen = result + " compared with " + baseline;
     System.out.println("part errors: seed " + seed + " " + seen);
-    assertTrue(4 * result.errorShare() <= naive.errorShare(), seen);
-    assertTrue(result.servedShare() >= naive.servedShare(), seen);
+    assertTrue(4 * result.errorShare() <= baseline.errorShare(), seen);
+    assertTrue(result.servedShare() >= baseline.servedShare(), seen);
   }
 
-  /** Guards against sound endpoints that are left out for errors by chance. */
+  /** Guards against healthy endpoints that are avoided because of errors by chance. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5})
-  void servesAsManyWhereEachEndpointFailsOneInAHundred(long seed) {
+  void servesAsManyIfEveryEndpointFailsOneInAHundred(long seed) {
     FastErrorReplay.Result result = replay(seed, SlotSettings.DEFAULT, CHANCE, CHANCE);
-    FastErrorReplay.Result naive = replay(seed, NAIVE, CHANCE, CHANCE);
-    String seen = result + " against " + naive;
+    FastErrorReplay.Result baseline = replay(seed, BASELINE, CHANCE, CHANCE);
+    String seen = result + " compared with " + baseline;
     System.out.println("chance errors: seed " + seed + " " + seen);
-    assertTrue(result.servedShare() >= naive.servedShare() - 0.01, seen);
+    assertTrue(result.servedShare() >= baseline.servedShare() - 0.01, seen);
   }
 
   private static FastErrorReplay.Result replay(
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/slot/support/FleetReplay.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/slot/support/FleetReplay.java
@@ -13,8 +13,8 @@
 import java.util.Set;
 
 /**
- * Waves of requests from six data centres at 47 endpoints of seven slots, in virtual time; what the
- * endpoints do with them differs by replay.
+ * Simulates, in virtual time, waves of requests from six data centres to 47 endpoints of seven
+ * slots each. Subclasses define how endpoints handle the requests.
  */
 abstract class FleetReplay {
 
@@ -47,7 +47,7 @@
     }
   }
 
-  /** Takes that a request has a slot. */
+  /** Handles a request that was granted a slot. */
   abstract void use(SlotRequest request, String endpoint);
 
   /** Returns whether an endpoint is one of those that are faulty at times. */
@@ -59,7 +59,7 @@
     return asked;
   }
 
-  /** Replays arrivals until a moment, and goes on to the end. */
+  /** Simulates arrivals until a moment, and continues without arrivals to the end. */
   void replay(int arriveUntil, int end) {
     double at = 0;
     while (at < arriveUntil) {
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/slot/support/OutlierReplayTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/slot/support/OutlierReplayTest.java
@@ -23,9 +23,10 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Replays requests at six endpoints, of which one fails 45 of 100 within 20 ms and says that it is
- * well. Callers get errors although five sound endpoints have free slots: the failing one is free
- * most often, and each success ends the penalty for the failure before.
+ * Simulates requests to six endpoints, one of which fails 45 requests of 100 within 20 ms while its
+ * health checks pass. Guards against callers that get errors although five healthy endpoints have
+ * free slots: the failing endpoint is free most often, and each success ends the penalty for the
+ * failure before it.
  */
 class OutlierReplayTest {
 
@@ -37,8 +38,8 @@
   private static final int ERROR_MILLIS = 20;
   private static final double FAILING = 0.45;
 
-  /** Settings under which no endpoint ever counts as failing. */
-  private static final SlotSettings NAIVE =
+  /** Baseline settings, under which no endpoint ever counts as failing. */
+  private static final SlotSettings BASELINE =
       SlotSettings.builder().outlierShare(Double.POSITIVE_INFINITY).build();
 
   private final CoordinatorFixture fixture = new CoordinatorFixture();
@@ -54,16 +55,17 @@
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5})
-  void losesFewRequestsToAnEndpointThatFailsPartOfThem(long seed) {
-    Result guarded = replay(seed, SlotSettings.DEFAULT);
-    Result naive = replay(seed, NAIVE);
-    System.out.println("outliers: seed " + seed + " guarded " + guarded + ", naive " + naive);
-    assertTrue(guarded.share() < 0.02, guarded.toString());
-    assertTrue(naive.share() > 4 * guarded.share(), naive + " against " + guarded);
+  void losesFewRequestsToAnEndpointThatFailsSomeRequests(long seed) {
+    Result detecting = replay(seed, SlotSettings.DEFAULT);
+    Result baseline = replay(seed, BASELINE);
+    System.out.println(
+        "outliers: seed " + seed + " with detection " + detecting + ", baseline " + baseline);
+    assertTrue(detecting.share() < 0.02, detecting.toString());
+    assertTrue(baseline.share() > 4 * detecting.share(), baseline + " compared with " + detecting);
   }
 
   @Test
-  void placesThereWhenNoOtherHasASlotIfItFailsAPart() {
+  void usesAnEndpointThatFailsSomeRequestsIfNoOtherHasAFreeSlot() {
     fixture.endpoint("bad", "a", 8).endpoint("good", "a", 1);
     endAt("bad", SlotOutcome.ANSWERED);
     endAt("bad", SlotOutcome.ANSWERED);
@@ -73,9 +75,9 @@
     assertEquals("bad", fixture.granted(fixture.online("a")));
   }
 
-  /** Guards against errors at once where a caller would do better to wait or to come back. */
+  /** Guards against immediate errors where waiting or retrying later is better for the caller. */
   @Test
-  void placesNothingThereIfItFailsAll() {
+  void sendsNothingToAnEndpointThatFailsAllRequests() {
     fixture.endpoint("bad", "a", 8).endpoint("good", "a", 1).endpoint("other", "a", 1);
     failAt("bad");
     fixture.granted(fixture.online("a"));
@@ -85,9 +87,11 @@
         List.of(new SlotAnswer.Waiting(second.key(), second.maxWait())), fixture.ask(second));
   }
 
-  /** Guards against requests that wait in vain while newcomers get the slots that come free. */
+  /**
+   * Guards against requests that wait in vain while new requests get the slots that become free.
+   */
   @Test
-  void servesThoseThatWaitIfAllFail() {
+  void servesWaitingRequestsIfAllEndpointsFail() {
     fixture.endpoint("one", "a", SLOTS).endpoint("other", "b", SLOTS);
     for (String endpoint : List.of("one", "other")) {
       endAt(endpoint, "a", SlotOutcome.ERROR);
@@ -106,9 +110,12 @@
         fixture.release(first, SlotOutcome.ANSWERED));
   }
 
-  /** Guards against each data centre that has to find out for itself what all were told. */
+  /**
+   * Guards against each data centre having to detect a failing endpoint that others have already
+   * detected.
+   */
   @Test
-  void avoidsItForAllOnceTwoDataCentresGotErrors() {
+  void avoidsAnEndpointForAllAfterTwoDataCentresGotErrors() {
     fixture.endpoint("bad", "a", 8).endpoint("good", "b", 8);
     endAt("bad", "a", SlotOutcome.ERROR);
     endAt("bad", "b", SlotOutcome.ERROR);
@@ -116,9 +123,12 @@
     assertEquals("good", fixture.granted(fixture.online("c")));
   }
 
-  /** Guards against a cut that takes endpoints from those who stand beside them. */
+  /**
+   * Guards against a network partition that makes an endpoint unusable for gateways in its own data
+   * centre.
+   */
   @Test
-  void keepsItForItsOwnSideOfACut() {
+  void keepsAnEndpointUsableOnItsOwnSideOfANetworkPartition() {
     fixture.endpoint("bad", "b", 8).endpoint("good", "a", 8).endpoint("other", "a", 8);
     endAt("bad", "a", SlotOutcome.FAILED);
     fixture.advance(SlotSettings.DEFAULT.firstPenalty());
@@ -126,9 +136,12 @@
     assertEquals("bad", fixture.granted(fixture.online("b")));
   }
 
-  /** Guards against each data centre that has to find out for itself what is silent at home. */
+  /**
+   * Guards against each data centre having to detect an endpoint that is silent even within its own
+   * data centre.
+   */
   @Test
-  void avoidsItForAllOnceItFailsWithinItsOwnDataCentre() {
+  void avoidsAnEndpointForAllAfterFailuresWithinItsOwnDataCentre() {
     fixture.endpoint("bad", "b", 8).endpoint("good", "a", 1).endpoint("other", "a", 8);
     endAt("bad", "b", SlotOutcome.FAILED);
     fixture.advance(SlotSettings.DEFAULT.firstPenalty());
@@ -137,21 +150,21 @@
     assertNotEquals("bad", fixture.granted(fixture.online("c")));
   }
 
-  /** Guards against seven errors at once when an endpoint that still fails is tried again. */
+  /** Guards against seven immediate errors when an endpoint that still fails is used again. */
   @Test
-  void triesItWithOneRequestAtATime() {
+  void probesAFailingEndpointWithOneRequestAtATime() {
     fixture.endpoint("bad", "a", 8).endpoint("good", "b", 8);
     failAt("bad");
     fixture.advance(SlotSettings.DEFAULT.outlierTime());
-    SlotRequest attempt = fixture.online("a");
-    assertEquals("bad", fixture.granted(attempt));
+    SlotRequest probe = fixture.online("a");
+    assertEquals("bad", fixture.granted(probe));
     assertEquals("good", fixture.granted(fixture.online("a")));
-    fixture.release(attempt, SlotOutcome.ANSWERED);
+    fixture.release(probe, SlotOutcome.ANSWERED);
     assertEquals("bad", fixture.granted(fixture.online("a")));
   }
 
   @Test
-  void givesItNoItems() {
+  void sendsNoItemsToAFailingEndpoint() {
     fixture.endpoint("bad", "a", 8).endpoint("good", "a", 3);
     failAt("bad");
     for (int i = 0; i < 3; i++) {
@@ -162,7 +175,7 @@
   }
 
   @Test
-  void avoidsItForTheDataCentreThatSawItFail() {
+  void avoidsAnEndpointForTheDataCentreThatObservedItsFailures() {
     fixture.endpoint("bad", "a", 8).endpoint("good", "b", 8);
     failAt("bad");
     assertEquals("good", fixture.granted(fixture.online("a")));
@@ -170,7 +183,7 @@
   }
 
   @Test
-  void triesItAgain() {
+  void probesAnAvoidedEndpointLater() {
     fixture.endpoint("bad", "a", 8).endpoint("good", "b", 8);
     failAt("bad");
     assertNotEquals("bad", fixture.granted(fixture.online("a")));
@@ -188,7 +201,7 @@
     endAt(endpoint, "a", outcome);
   }
 
-  /** Ends a use of an endpoint by a data centre. */
+  /** Uses an endpoint from a data centre and ends the use with an outcome. */
   private void endAt(String endpoint, String dataCentre, SlotOutcome outcome) {
     Set<EndpointLife> others =
         Set.copyOf(
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/slot/support/RestartedEndpointTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/slot/support/RestartedEndpointTest.java
@@ -17,7 +17,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** An endpoint that starts again under its id, as a coordinator sees it. */
+/** Tests how a coordinator handles an endpoint that restarts under the same id. */
 class RestartedEndpointTest {
 
   private static final long FINGERPRINT = 4_711;
@@ -25,11 +25,11 @@
   private final CoordinatorFixture fixture = new CoordinatorFixture();
 
   /**
-   * A store hand's check is refused while an endpoint idles. The endpoint had crashed and was back,
-   * and got nothing for the rest of the pause that its former failures had brought it.
+   * Guards against requests that are refused while an endpoint is idle: the endpoint crashed and
+   * restarted, but got no requests for the rest of the penalty for its former failures.
    */
   @Test
-  void usesAnEndpointThatStartedAgainAtOnce() {
+  void usesARestartedEndpointAtOnce() {
     started("e1", "a", 1, 1);
     for (int i = 0; i < 4; i++) {
       SlotRequest lost = fixture.online("a");
@@ -45,11 +45,11 @@
   }
 
   /**
-   * Checks from one data centre are refused although two endpoints of another one are back. Both
-   * had crashed, which looked like a cut of the way there.
+   * Guards against requests that are refused although two endpoints of another data centre have
+   * restarted: both had crashed, which looked like a network partition.
    */
   @Test
-  void takesNoCrashForACutOnceTheEndpointsAreBack() {
+  void assumesNoNetworkPartitionAfterCrashedEndpointsRestart() {
     started("e1", "b", 1, 1);
     started("e2", "b", 1, 1);
     SlotRequest first = fixture.online("a");
@@ -65,11 +65,11 @@
   }
 
   /**
-   * Requests queue at one endpoint while another one idles. The idle one had failed part of its
-   * requests before it was started again, and was passed over for seconds on.
+   * Guards against requests that queue at one endpoint while another is idle: the idle endpoint had
+   * failed some requests before its restart, and was still avoided for seconds.
    */
   @Test
-  void trustsAnEndpointThatStartedAgain() {
+  void forgetsTheErrorsOfARestartedEndpoint() {
     started("a1", "a", 8, 1);
     for (int i = 0; i < 3; i++) {
       SlotRequest failing = fixture.online("a");
@@ -83,11 +83,12 @@
   }
 
   /**
-   * Two requests share a slot, and one waits at the endpoint. The use of a former life ended late,
-   * over datagrams, and was taken for the end of a use of the new one.
+   * Guards against two requests in one slot, one of which waits at the endpoint: a use at the
+   * former incarnation ended late, because datagrams are delayed, and was mistaken for the end of a
+   * use at the new incarnation.
    */
   @Test
-  void freesNoSlotOfTheNewLifeWithAUseOfTheFormerOne() {
+  void freesNoSlotOfTheNewIncarnationWhenAUseAtTheFormerOneEnds() {
     started("e1", "a", 4, 1);
     SlotRequest former = fixture.online("a");
     fixture.granted(former);
@@ -100,15 +101,15 @@
     SlotRequest waiting = fixture.online("a");
     assertInstanceOf(SlotAnswer.Waiting.class, fixture.ask(waiting).get(0));
     assertEquals(List.of(), fixture.release(former, SlotOutcome.FAILED));
-    // The failure of the former life does not hold the new one back either.
+    // Nor does the failure of the former incarnation penalize the new one.
     assertEquals(
         List.of(new SlotAnswer.Granted(waiting.key(), new EndpointLife("e1", 2))),
         fixture.release(running, SlotOutcome.ANSWERED));
   }
 
-  /** A hint that comes late puts an endpoint out of use that has just started. */
+  /** Guards against a late hint that makes an endpoint unused that has just started. */
   @Test
-  void countsNoSilenceOfAFormerLife() {
+  void ignoresTheSilenceOfAFormerIncarnation() {
     started("e1", "a", 8, 1);
     SlotRequest former = fixture.online("a");
     fixture.granted(former);
@@ -118,11 +119,11 @@
   }
 
   /**
-   * Checks are refused while an endpoint idles. It had told a long queue before it started again,
-   * and told of it once more by an answer that came late.
+   * Guards against requests that are refused while an endpoint is idle: the endpoint had reported a
+   * long queue before its restart, and a late answer reported the queue once more.
    */
   @Test
-  void forgetsTheLoadThatAFormerLifeTold() {
+  void forgetsTheLoadReportedByAFormerIncarnation() {
     started("e1", "a", 1, 1);
     SlotRequest former = fixture.online("a");
     fixture.granted(former);
@@ -133,38 +134,39 @@
   }
 
   /**
-   * One endpoint after the other crashes under the same request. Each had started again before its
-   * crash was told, so that no crash was counted.
+   * Guards against a request that crashes one endpoint after the other without being counted: each
+   * endpoint had restarted before its crash was reported.
    */
   @Test
-  void countsCrashesOfARequestOverTheLivesOfAnEndpoint() {
+  void countsCrashesOfARequestAcrossIncarnations() {
     for (int crash = 0; crash < 3; crash++) {
       started("e1", "a", 8, 2L * crash + 1);
-      SlotRequest request = deadly(crash);
+      SlotRequest request = crashing(crash);
       fixture.granted(request);
       started("e1", "a", 8, 2L * crash + 2);
       fixture.release(request, SlotOutcome.FAILED);
     }
-    assertInstanceOf(SlotAnswer.Refused.class, fixture.ask(deadly(3)).get(0));
+    assertInstanceOf(SlotAnswer.Refused.class, fixture.ask(crashing(3)).get(0));
   }
 
   /**
-   * Checks wait for an endpoint that has just started. A gateway whose list was behind renewed a
-   * use of its former life.
+   * Guards against requests that wait for an endpoint that has just started: a gateway with an
+   * outdated directory renewed a use at the former incarnation.
    */
   @Test
-  void countsNoRenewedUseOfAFormerLife() {
+  void ignoresARenewedUseAtAFormerIncarnation() {
     started("e1", "a", 1, 2);
     fixture.coordinator.renew("late", List.of(use(7, 1)), fixture.now);
     assertEquals("e1", fixture.granted(fixture.online("a")));
   }
 
   /**
-   * Two requests share a slot. A gateway knew of the new life before the coordinator did, and the
-   * coordinator took its use for one of the former life when it heard of the new one.
+   * Guards against two requests in one slot: a gateway knew of the new incarnation before the
+   * coordinator did, and the coordinator attributed the gateway's use to the former incarnation
+   * when it learned of the new one.
    */
   @Test
-  void keepsAUseOfALifeThatItHearsOfLater() {
+  void keepsAUseAtAnIncarnationThatItLearnsOfLater() {
     started("e1", "a", 1, 1);
     fixture.coordinator.renew("early", List.of(use(7, 2)), fixture.now);
     assertRefused();
@@ -172,9 +174,9 @@
     assertRefused();
   }
 
-  /** As above, for a use that the coordinator had granted at the life that it knew. */
+  /** As above, for a use that the coordinator had granted at the incarnation that it knew. */
   @Test
-  void learnsFromARenewalWhichLifeAUseIsOf() {
+  void learnsTheIncarnationOfAUseFromItsRenewal() {
     started("e1", "a", 1, 1);
     SlotRequest request = fixture.online("a");
     fixture.granted(request);
@@ -184,19 +186,22 @@
   }
 
   /**
-   * A check is refused although its endpoint has just started, because it had broken off on the
-   * check in its former life.
+   * Guards against a request that is refused although its endpoint has just restarted: the former
+   * incarnation had broken the connection while it ran the request.
    */
   @Test
-  void excludesTheLifeThatBrokeOffAlone() {
+  void excludesOnlyTheIncarnationThatBrokeTheConnection() {
     started("e1", "a", 8, 2);
     Set<EndpointLife> former = Set.of(new EndpointLife("e1", 1));
     assertEquals("e1", fixture.granted(fixture.request("a", false, 0, former)));
   }
 
-  /** A request goes back to the endpoint that turned it away, which a coordinator knew too late. */
+  /**
+   * Guards against a request that returns to the endpoint that refused it, because the coordinator
+   * has not heard of that incarnation yet.
+   */
   @Test
-  void excludesALifeThatItHasNotHeardOf() {
+  void excludesAnIncarnationThatItHasNotHeardOf() {
     started("e1", "a", 1, 1);
     Set<EndpointLife> later = Set.of(new EndpointLife("e1", 2));
     SlotRequest request = fixture.request("a", false, 0, later);
@@ -204,11 +209,11 @@
   }
 
   /**
-   * An item of a former life is told to give way, and the request that it gave way to gets a slot
-   * that is in use.
+   * Guards against revoking an item of a former incarnation: the online request that needs its slot
+   * would be granted a slot that is in use.
    */
   @Test
-  void takesNoSlotBackFromAnItemOfAFormerLife() {
+  void revokesNoItemOfAFormerIncarnation() {
     started("e1", "a", 1, 1);
     SlotRequest item = fixture.batch(fixture.now.plusSeconds(9));
     fixture.granted(item);
@@ -218,10 +223,11 @@
   }
 
   /**
-   * A request runs unseen on a slot of the former life, because the first answer to it was lost.
+   * Guards against a request that runs without a lease in a slot of the new incarnation, because
+   * the first answer, for the former incarnation, was lost.
    */
   @Test
-  void grantsAnewWhatAFormerLifeWasGranted() {
+  void grantsAgainARequestGrantedAtAFormerIncarnation() {
     started("e1", "a", 1, 1);
     SlotRequest request = fixture.online("a");
     fixture.granted(request);
@@ -232,11 +238,13 @@
     assertRefused();
   }
 
-  /** Checks that a request is refused and nothing else told: the one slot is in use. */
+  /**
+   * Asserts that a request is refused and that no other answer is sent: the only slot is in use.
+   */
   private void assertRefused() {
-    List<SlotAnswer> told = fixture.ask(fixture.online("a"));
-    assertEquals(1, told.size(), told.toString());
-    assertInstanceOf(SlotAnswer.Refused.class, told.get(0));
+    List<SlotAnswer> answers = fixture.ask(fixture.online("a"));
+    assertEquals(1, answers.size(), answers.toString());
+    assertInstanceOf(SlotAnswer.Refused.class, answers.get(0));
   }
 
   private void started(String id, String dataCentre, int slots, long born) {
@@ -250,7 +258,7 @@
     return new SlotUse(number, new EndpointLife("e1", born), false, 0, Duration.ZERO);
   }
 
-  private static SlotRequest deadly(int attempt) {
+  private static SlotRequest crashing(int attempt) {
     return new SlotRequest(
         new SlotKey("gateway-" + attempt, 1),
         CoordinatorFixture.SERVICE,
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/slot/support/ReturnReplayTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/slot/support/ReturnReplayTest.java
@@ -25,10 +25,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Replays waves whose crests bring more requests than slots free up for 2.4 s of every 6 s; a
- * caller that is refused comes back once, when it was told to. Callers are refused a second time,
- * for good, although slots are idle a second later: they were told to come back into the same
- * crest.
+ * Simulates waves whose peaks bring more requests than slots become free, for 2.4 s of every 6 s. A
+ * refused caller returns once, at the time that it was told. Guards against callers that are
+ * refused a second time, which is final, although slots are idle a second later, because they were
+ * told to return into the same peak.
  */
 class ReturnReplayTest {
 
@@ -39,57 +39,67 @@
   private static final Duration PATIENCE = Duration.ofSeconds(3);
   private static final Duration MAX_WAIT = Duration.ofMillis(150);
 
-  /** Longest time after which callers come back; they wait a third of their 5 s at most. */
+  /** Longest time after which callers return; they wait at most a third of their 5 s. */
   private static final int MAX_RETURN_MILLIS = 1_600;
 
-  /** Settings under which a refused caller keeps no place. */
-  private static final SlotSettings NAIVE =
+  /** Baseline settings, under which refused callers are not remembered. */
+  private static final SlotSettings BASELINE =
       SlotSettings.builder().returnTime(Duration.ofMillis(-1)).build();
 
   @ParameterizedTest
   @CsvSource({"1,43", "2,43", "3,50", "4,50", "5,60", "6,60"})
-  void refusesNextToNoCallersTwice(long seed, double requestsPerSecond) {
-    Replay guarded = new Replay(seed, requestsPerSecond, SlotSettings.DEFAULT);
-    Replay naive = new Replay(seed, requestsPerSecond, NAIVE);
-    guarded.run();
-    naive.run();
-    System.out.println("returns: seed " + seed + " guarded " + guarded + ", naive " + naive);
-    assertTrue(10 * guarded.lost < naive.lost, guarded + " against " + naive);
-    assertTrue(guarded.servedAtOnce >= naive.servedAtOnce, guarded + " against " + naive);
+  void refusesVeryFewCallersTwice(long seed, double requestsPerSecond) {
+    Replay remembering = new Replay(seed, requestsPerSecond, SlotSettings.DEFAULT);
+    Replay baseline = new Replay(seed, requestsPerSecond, BASELINE);
+    remembering.run();
+    baseline.run();
+    System.out.println(
+        "returns: seed " + seed + " remembering " + remembering + ", baseline " + baseline);
+    assertTrue(10 * remembering.lost < baseline.lost, remembering + " compared with " + baseline);
+    assertTrue(
+        remembering.servedAtOnce >= baseline.servedAtOnce,
+        remembering + " compared with " + baseline);
   }
 
-  /** Newcomers are not all late because callers that were refused are served before them. */
+  /**
+   * Guards against new requests that are all late because returning requests are served before
+   * them.
+   */
   @Test
-  void servesNewcomersFirst() {
+  void servesNewRequestsBeforeReturningOnes() {
     CoordinatorFixture fixture = new CoordinatorFixture().endpoint("e", "a", 1);
     SlotRequest running = fixture.online("a");
     fixture.granted(running);
     assertInstanceOf(SlotAnswer.Refused.class, fixture.ask(request(1, 7, Duration.ZERO)).get(0));
     fixture.advance(Duration.ofMillis(200));
-    SlotRequest back = request(2, 7, Duration.ZERO);
-    assertEquals(List.of(new SlotAnswer.Waiting(back.key(), PATIENCE)), fixture.ask(back));
-    SlotRequest newcomer = request(3, 8, PATIENCE);
-    assertInstanceOf(SlotAnswer.Waiting.class, fixture.ask(newcomer).get(0));
-    assertEquals(newcomer.key(), fixture.release(running, SlotOutcome.ANSWERED).get(0).key());
-    assertEquals(back.key(), fixture.release(newcomer, SlotOutcome.ANSWERED).get(0).key());
+    SlotRequest returning = request(2, 7, Duration.ZERO);
+    assertEquals(
+        List.of(new SlotAnswer.Waiting(returning.key(), PATIENCE)), fixture.ask(returning));
+    SlotRequest newRequest = request(3, 8, PATIENCE);
+    assertInstanceOf(SlotAnswer.Waiting.class, fixture.ask(newRequest).get(0));
+    assertEquals(newRequest.key(), fixture.release(running, SlotOutcome.ANSWERED).get(0).key());
+    assertEquals(returning.key(), fixture.release(newRequest, SlotOutcome.ANSWERED).get(0).key());
   }
 
-  /** A caller is told to come back into the same crest, whose usual length is known by then. */
+  /**
+   * Guards against a caller that is told to return into the same load peak although the usual
+   * length of peaks is known by then.
+   */
   @Test
-  void tellsWhenTheCrestIsUsuallyOver() {
-    OverloadSpell spell = new OverloadSpell();
+  void estimatesTheEndOfThePeakFromItsUsualLength() {
+    OverloadPeriod overload = new OverloadPeriod();
     Instant at = Instant.parse("2026-01-01T00:00:00Z");
-    for (int crest = 0; crest < 12; crest++) {
+    for (int peak = 0; peak < 12; peak++) {
       for (int millis = 0; millis <= 800; millis += 100) {
-        spell.refused(at.plusMillis(millis));
+        overload.refused(at.plusMillis(millis));
       }
-      spell.eased(at.plusMillis(1_200));
+      overload.slotFound(at.plusMillis(1_200));
       at = at.plusSeconds(6);
     }
-    spell.refused(at);
-    assertEquals(800, spell.remaining(at).toMillis(), 20);
-    assertEquals(300, spell.remaining(at.plusMillis(500)).toMillis(), 20);
-    assertEquals(5_000, spell.remaining(at.plusSeconds(10)).toMillis());
+    overload.refused(at);
+    assertEquals(800, overload.remaining(at).toMillis(), 20);
+    assertEquals(300, overload.remaining(at.plusMillis(500)).toMillis(), 20);
+    assertEquals(5_000, overload.remaining(at.plusSeconds(10)).toMillis());
   }
 
   private static SlotRequest request(long number, long fingerprint, Duration maxWait) {
@@ -106,7 +116,7 @@
         Set.of());
   }
 
-  /** One run in virtual time. */
+  /** One simulation in virtual time. */
   private static final class Replay {
 
     private final Random random;
@@ -187,8 +197,8 @@
         lost++;
         return;
       }
-      int back = (int) Math.min(MAX_RETURN_MILLIS, retryAfter.toMillis()) + 20;
-      due.add(new Due(now + back, () -> ask(caller)));
+      int returning = (int) Math.min(MAX_RETURN_MILLIS, retryAfter.toMillis()) + 20;
+      due.add(new Due(now + returning, () -> ask(caller)));
     }
 
     @Override
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/slot/support/SilentEndpointsReplay.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/slot/support/SilentEndpointsReplay.java
@@ -4,8 +4,8 @@
 import io.hawthornlb.gateway.slot.SlotRequest;
 
 /**
- * A fleet of which seven endpoints take requests and stay silent for 7.7 s. Two of five requests
- * may be moved; the others wait for their deadline.
+ * Simulates a fleet in which seven endpoints accept requests and stay silent for 7.7 s. Two of five
+ * requests may be retried at another endpoint; the others wait for their deadline.
  */
 final class SilentEndpointsReplay extends FleetReplay {
 
@@ -22,7 +22,7 @@
   private int served;
   private int lost;
 
-  /** What became of the requests; the rest was refused. */
+  /** Counts of requests by outcome; requests in neither count were refused. */
   record Result(int asked, int served, int lost) {
 
     double lostShare() {
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/slot/support/VirtualTime.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/slot/support/VirtualTime.java
@@ -3,11 +3,14 @@
 import java.util.PriorityQueue;
 import java.util.function.IntConsumer;
 
-/** Actions at moments in virtual time, those of one moment in the order in which they came. */
+/**
+ * Runs scheduled actions in virtual time; actions scheduled for the same moment run in the order in
+ * which they were scheduled.
+ */
 final class VirtualTime {
 
   private final PriorityQueue<Due> due = new PriorityQueue<>();
-  private long order;
+  private long scheduled;
   private int now;
 
   private record Due(int at, long order, Runnable action) implements Comparable<Due> {
@@ -24,11 +27,11 @@
   }
 
   void at(int millis, Runnable action) {
-    order++;
-    due.add(new Due(millis, order, action));
+    scheduled++;
+    due.add(new Due(millis, scheduled, action));
   }
 
-  /** Does something now and again until an end. */
+  /** Schedules an action at a fixed interval, from time zero until the end. */
   void every(int millis, int end, Runnable action) {
     for (int at = 0; at < end; at += millis) {
       at(at, action);
@@ -36,9 +39,9 @@
   }
 
   /**
-   * Runs what is due before an end.
+   * Runs all actions that are due before the end.
    *
-   * @param clock is told the time before each action
+   * @param clock receives the virtual time before each action
    */
   void runUntil(int end, IntConsumer clock) {
     while (!due.isEmpty() && due.peek().at() < end) {
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/slot/support/WaveReplay.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/slot/support/WaveReplay.java
@@ -12,10 +12,11 @@
 import java.util.Random;
 
 /**
- * Waves of requests at endpoints that admit in order of arrival, in virtual time.
+ * Simulates, in virtual time, waves of requests to endpoints that admit requests in order of
+ * arrival.
  *
- * <p>Either one coordinator hands out the slots, or each of 13 gateways places by its own counts
- * and runs one thirteenth of the items, up to its share of the slots.
+ * <p>Either one coordinator hands out the slots, or each of 13 gateways places requests by its own
+ * counts and runs one thirteenth of the items, up to its share of the slots.
  */
 final class WaveReplay {
 
@@ -47,7 +48,13 @@
   private int onTime;
   private long itemMillis;
 
-  /** What a replay gave: requests, those on time, and time that items ran. */
+  /**
+   * Result of a simulation.
+   *
+   * @param asked number of online requests
+   * @param onTime requests whose first event was on time
+   * @param itemMillis total time that items ran, in milliseconds
+   */
   record Result(int asked, int onTime, long itemMillis) {
 
     double onTimeShare() {
@@ -55,7 +62,7 @@
     }
   }
 
-  /** Admits in order of arrival. */
+  /** An endpoint that admits requests in order of arrival. */
   private final class Engine {
 
     private final List<Runnable> queue = new ArrayList<>();
@@ -92,7 +99,7 @@
     return new WaveReplay(seed, true);
   }
 
-  static WaveReplay alone(long seed) {
+  static WaveReplay independent(long seed) {
     return new WaveReplay(seed, false);
   }
 
@@ -124,7 +131,7 @@
     asked++;
     int arrived = time.now();
     if (!coordinated) {
-      int endpoint = leastOwn(gateway);
+      int endpoint = leastUsedByOwnCount(gateway);
       ownCounts[gateway][endpoint]++;
       engines
           .get(endpoint)
@@ -160,7 +167,7 @@
         });
   }
 
-  private int leastOwn(int gateway) {
+  private int leastUsedByOwnCount(int gateway) {
     int best = random.nextInt(ENDPOINTS);
     for (int i = 0; i < ENDPOINTS; i++) {
       if (ownCounts[gateway][i] < ownCounts[gateway][best]) {
@@ -172,27 +179,27 @@
 
   private void startItem(int item) {
     if (!coordinated) {
-      // Its share of the slots, less what online requests need in the mean.
+      // Half of the slots: the share of the items, less what online requests need on average.
       if (item < ENDPOINTS * SLOTS / 2) {
         int endpoint = item % ENDPOINTS;
-        engines.get(endpoint).arrive(() -> runAlone(item, endpoint));
+        engines.get(endpoint).arrive(() -> runWithoutCoordinator(item, endpoint));
       }
       return;
     }
     SlotRequest request = fixture.batch(start.plusSeconds(18).plusMillis(item));
-    boolean[] over = new boolean[1];
+    boolean[] ended = new boolean[1];
     onGrant.put(
         request.key(),
         () -> {
           int endpoint = Integer.parseInt(grantedAt.get(request.key()));
           fixture.began(request, String.valueOf(endpoint));
-          engines.get(endpoint).arrive(() -> runItem(item, request, endpoint, over));
+          engines.get(endpoint).arrive(() -> runItem(item, request, endpoint, ended));
         });
     onRefusal.put(request.key(), () -> startItem(item));
     take(fixture.ask(request));
   }
 
-  private void runAlone(int item, int endpoint) {
+  private void runWithoutCoordinator(int item, int endpoint) {
     time.at(
         time.now() + ITEM_MILLIS,
         () -> {
@@ -202,12 +209,12 @@
         });
   }
 
-  private void runItem(int item, SlotRequest request, int endpoint, boolean[] over) {
+  private void runItem(int item, SlotRequest request, int endpoint, boolean[] ended) {
     int began = time.now();
     Runnable end =
         () -> {
-          if (!over[0]) {
-            over[0] = true;
+          if (!ended[0]) {
+            ended[0] = true;
             itemMillis += time.now() - began;
             fixture.ended(request.key());
             engines.get(endpoint).left();
@@ -218,7 +225,7 @@
     time.at(
         time.now() + ITEM_MILLIS,
         () -> {
-          if (!over[0]) {
+          if (!ended[0]) {
             end.run();
             take(fixture.release(request, SlotOutcome.ANSWERED));
           }
@@ -238,9 +245,9 @@
         onGrant.remove(granted.key()).run();
       } else if (answer instanceof SlotAnswer.Refused) {
         onGrant.remove(answer.key());
-        Runnable askAgain = onRefusal.remove(answer.key());
-        if (askAgain != null) {
-          time.at(time.now(), askAgain);
+        Runnable retry = onRefusal.remove(answer.key());
+        if (retry != null) {
+          time.at(time.now(), retry);
         }
       }
     }
