--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/peer/FleetSlotClient.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/peer/FleetSlotClient.java
@@ -183,7 +183,7 @@
     } else if (message instanceof PeerMessage.Told told) {
       local(told.service()).told(told.key(), told.load(), now);
     } else if (message instanceof PeerMessage.Barred barred) {
-      local(barred.service()).bar(barred.fingerprint(), now);
+      local(barred.service()).blockRequest(barred.fingerprint(), now);
     } else if (message instanceof PeerMessage.Renew renew) {
       senders.put(renew.holder(), envelope.sender());
       local(renew.service()).renew(renew.holder(), renew.uses(), now);
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/SlotCoordinator.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/SlotCoordinator.java
@@ -36,7 +36,7 @@
   void told(SlotKey key, ToldLoad load, Instant now);
 
   /** Blocks a request because another coordinator found that it crashed too many endpoints. */
-  void bar(long fingerprint, Instant now);
+  void blockRequest(long fingerprint, Instant now);
 
   /** Renews the leases of a holder, which lists all slots that it uses; unknown ones are added. */
   void renew(String holder, List<SlotUse> uses, Instant now);
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/support/DefaultSlotCoordinator.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/support/DefaultSlotCoordinator.java
@@ -146,7 +146,7 @@
   }
 
   @Override
-  public void bar(long fingerprint, Instant now) {
+  public void blockRequest(long fingerprint, Instant now) {
     crashes.block(fingerprint, now);
   }
 
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/slot/support/DefaultSlotCoordinatorTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/slot/support/DefaultSlotCoordinatorTest.java
@@ -281,7 +281,7 @@
   @Test
   void blocksARequestThatAnotherCoordinatorHasBlocked() {
     fixture.endpoint("e1", "a", 8);
-    fixture.coordinator.bar(4_711, fixture.now);
+    fixture.coordinator.blockRequest(4_711, fixture.now);
     assertInstanceOf(SlotAnswer.Refused.class, fixture.ask(crashing(0)).get(0));
   }
 
