--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/admission/AdmissionController.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/admission/AdmissionController.java
@@ -8,27 +8,37 @@
 import java.util.List;
 
 /**
- * Admits requests within limits, in a fair order; confined to one thread.
+ * Admits requests within limits and in a fair order. Implementations are confined to one thread.
  *
- * <p>Each offered request ends in exactly one of: admitted and finished, or refused.
+ * <p>Each offered request ends in exactly one of two ways: it is admitted and later finished, or it
+ * is refused.
  */
 public interface AdmissionController {
 
-  /** Takes a revision of the catalogue, which holds limits and weights. */
+  /** Updates the catalogue, which holds limits and weights. */
   void onCatalogue(Catalogue catalogue);
 
-  /** Takes how many requests the endpoints of a service can execute at once, over the fleet. */
+  /**
+   * Updates the number of requests that the endpoints of a service can execute at once, summed over
+   * the fleet.
+   */
   void onCapacity(ServiceName service, int slots, Instant now);
 
-  /** Decides on a request. */
+  /** Decides whether a request starts, waits or is refused. */
   AdmissionDecision offer(AdmissionRequest request, Instant now);
 
-  /** Takes the end of an admitted request, or of a queued one whose caller has gone. */
+  /**
+   * Handles the end of an admitted request, or of a queued one whose caller has disconnected;
+   * returns the requests to start.
+   */
   List<Effect> onFinished(RequestId id, Instant now);
 
-  /** Starts and refuses what the passing of time or a change of limits calls for. */
+  /**
+   * Starts or refuses queued requests as time passes or limits change. Call this method
+   * periodically.
+   */
   List<Effect> onTick(Instant now);
 
-  /** Returns how many requests wait. */
+  /** Returns the number of queued requests. */
   int waiting();
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/admission/AdmissionRequest.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/admission/AdmissionRequest.java
@@ -7,13 +7,13 @@
 import java.time.Instant;
 
 /**
- * A request that asks for admission.
+ * A request that is offered for admission.
  *
- * @param id the request
- * @param service the service that it asks for
- * @param workspace whose request it is
- * @param requestClass its class
- * @param deadline by when the answer is due
+ * @param id id of the request
+ * @param service service that the request is for
+ * @param workspace workspace that the request belongs to
+ * @param requestClass class of the request
+ * @param deadline time by which the answer is due
  */
 public record AdmissionRequest(
     RequestId id,
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/admission/Demand.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/admission/Demand.java
@@ -3,10 +3,10 @@
 import io.hawthornlb.core.util.Checks;
 
 /**
- * How much of a limit one entry could use.
+ * Amount of a limit that one entry instance could use.
  *
- * @param key the limit
- * @param amount requests in progress and waiting
+ * @param key key of the limit
+ * @param amount number of requests in progress and waiting
  */
 public record Demand(ShareKey key, double amount) {
 
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/admission/DemandDigest.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/admission/DemandDigest.java
@@ -6,18 +6,18 @@
 import java.util.List;
 
 /**
- * Tells peers the demand of one entry, for limits in use only.
+ * Reports the demand of one entry instance to its peers, for the limits in use only.
  *
- * @param sender the entry
- * @param dataCentre where it runs
- * @param sequence rises with each digest of the sender
- * @param demands its demand; limits that are left out have none
+ * @param sender the entry instance that sends the digest
+ * @param dataCentre data centre of the sender
+ * @param sequence sequence number, which increases with each digest of the sender
+ * @param demands demand for each limit; a limit that is not listed has none
  */
 public record DemandDigest(
     InstanceId sender, DataCentre dataCentre, long sequence, List<Demand> demands)
     implements PeerMessage {
 
-  /** Copies the demands. */
+  /** Copies the list of demands. */
   public DemandDigest {
     demands = List.copyOf(demands);
   }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/admission/RefuseRequest.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/admission/RefuseRequest.java
@@ -5,9 +5,9 @@
 import io.hawthornlb.core.model.RequestId;
 
 /**
- * Asks for a queued request to be answered with a refusal now.
+ * Effect that refuses a queued request now.
  *
- * @param id the request
- * @param refusal the answer
+ * @param id id of the request
+ * @param refusal the refusal to send to the caller
  */
 public record RefuseRequest(RequestId id, Refusal refusal) implements Effect {}
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/admission/ShareExchange.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/admission/ShareExchange.java
@@ -5,21 +5,24 @@
 import java.time.Instant;
 import java.util.Map;
 
-/** Divides limits of the fleet between entries by demand; confined to one thread. */
+/**
+ * Divides the limits of the fleet among entry instances by demand. Implementations are confined to
+ * one thread.
+ */
 public interface ShareExchange {
 
-  /** Takes the entries of the fleet with their data centres, this one included. */
+  /** Updates the entry instances of the fleet with their data centres, including this instance. */
   void onEntries(Map<InstanceId, DataCentre> entries, Instant now);
 
-  /** Takes the demand of a peer. */
+  /** Updates the demand of a peer. */
   void onDigest(DemandDigest digest, Instant now);
 
-  /** Sets the demand of this entry for a limit; zero forgets it. */
+  /** Sets the demand of this entry instance for a limit; zero removes it. */
   void demand(ShareKey key, double amount);
 
-  /** Returns the demand of this entry, which its peers must hear at least once a second. */
+  /** Returns the demand of this entry instance, to be sent to its peers at least once a second. */
   DemandDigest digest(Instant now);
 
-  /** Returns this entry's share of a limit, never less than its floor. */
+  /** Returns this entry instance's share of a limit, which is never less than a minimum share. */
   double share(ShareKey key, double limit, Instant now);
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/admission/ShareKey.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/admission/ShareKey.java
@@ -1,22 +1,22 @@
 package io.hawthornlb.core.admission;
 
 /**
- * Names one limit of the fleet that entries share.
+ * Identifies a fleet-wide limit that entry instances share.
  *
- * @param kind what is limited
- * @param name the service or workspace
+ * @param kind kind of the limit
+ * @param name name of the service or workspace that the limit applies to
  */
 public record ShareKey(Kind kind, String name) {
 
-  /** What is limited. */
+  /** Kind of a limit. */
   public enum Kind {
-    /** Requests of a service in progress. */
+    /** Number of requests of a service in progress. */
     SERVICE,
-    /** Requests of a service a second. */
+    /** Requests of a service per second. */
     SERVICE_RATE,
-    /** Requests of a workspace in progress. */
+    /** Number of requests of a workspace in progress. */
     WORKSPACE,
-    /** Requests of a workspace a second. */
+    /** Requests of a workspace per second. */
     WORKSPACE_RATE
   }
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/admission/StartRequest.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/admission/StartRequest.java
@@ -4,8 +4,8 @@
 import io.hawthornlb.core.model.RequestId;
 
 /**
- * Asks for a queued request to be started now.
+ * Effect that starts a queued request now.
  *
- * @param id the request
+ * @param id id of the request
  */
 public record StartRequest(RequestId id) implements Effect {}
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/admission/package-info.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/admission/package-info.java
@@ -1,4 +1,6 @@
-/** Decides which requests start now, which wait, and which are refused at once. */
+/**
+ * Admission control: decides which requests start now, which wait, and which are refused at once.
+ */
 @NullMarked
 package io.hawthornlb.core.admission;
 
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/admission/support/DemandShareExchange.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/admission/support/DemandShareExchange.java
@@ -20,20 +20,21 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Exchange in which an entry may use what its peers do not ask for, and its part by demand when all
- * ask for more than there is.
+ * Exchange that lets an entry instance use the part of a limit that its peers do not demand. If the
+ * total demand exceeds the limit, each entry instance gets a share in proportion to its demand.
  *
- * <p>While a whole data centre is not heard, the others share what they had together when it was.
+ * <p>While this instance receives nothing from a whole data centre, the remaining data centres
+ * share the part of each limit that they had together before they lost contact.
  */
 public final class DemandShareExchange implements ShareExchange {
 
-  private static final Duration CUT_AFTER = Duration.ofSeconds(3);
-  private static final Duration SNAPSHOT_EVERY = Duration.ofMillis(500);
+  private static final Duration NETWORK_PARTITION_TIMEOUT = Duration.ofSeconds(3);
+  private static final Duration SNAPSHOT_INTERVAL = Duration.ofMillis(500);
   private static final int SNAPSHOTS = 12;
-  private static final double FLOOR = 0.02;
-  private static final double NOTHING = 1e-9;
+  private static final double MIN_SHARE = 0.02;
+  private static final double EPSILON = 1e-9;
 
-  /** Part of each limit that each data centre had at a time. */
+  /** The part of each limit that each data centre had at a moment. */
   private record Snapshot(Instant at, Map<DataCentre, Map<ShareKey, Double>> parts) {}
 
   private final InstanceId self;
@@ -41,36 +42,36 @@
   private final Map<InstanceId, PeerDemand> peers = new HashMap<>();
   private final Map<ShareKey, Double> own = new HashMap<>();
   private final Map<DataCentre, Map<ShareKey, Double>> sums = new HashMap<>();
-  private final Map<DataCentre, Integer> entriesIn = new HashMap<>();
+  private final Map<DataCentre, Integer> entriesPerCentre = new HashMap<>();
   private final Deque<Snapshot> snapshots = new ArrayDeque<>();
-  private final Set<DataCentre> lost = new HashSet<>();
+  private final Set<DataCentre> unreachable = new HashSet<>();
   private Map<DataCentre, Map<ShareKey, Double>> frozen = Map.of();
   private int entries = 1;
   private long sequence;
 
-  /** Creates the exchange of an entry. */
+  /** Creates the exchange of an entry instance. */
   public DemandShareExchange(InstanceId self, DataCentre dataCentre) {
     this.self = self;
     this.dataCentre = dataCentre;
-    this.entriesIn.put(dataCentre, 1);
+    this.entriesPerCentre.put(dataCentre, 1);
   }
 
   @Override
   public void onEntries(Map<InstanceId, DataCentre> fleet, Instant now) {
     peers.keySet().retainAll(fleet.keySet());
-    entriesIn.clear();
-    entriesIn.put(dataCentre, 1);
+    entriesPerCentre.clear();
+    entriesPerCentre.put(dataCentre, 1);
     fleet.forEach(
-        (id, place) -> {
+        (id, centre) -> {
           if (!id.equals(self)) {
-            peers.computeIfAbsent(id, key -> new PeerDemand(place, now));
-            entriesIn.merge(place, 1, Integer::sum);
+            peers.computeIfAbsent(id, key -> new PeerDemand(centre, now));
+            entriesPerCentre.merge(centre, 1, Integer::sum);
           }
         });
     entries = peers.size() + 1;
     sums.clear();
     peers.values().forEach(peer -> add(peer, 1));
-    checkCut(now);
+    detectNetworkPartition(now);
   }
 
   @Override
@@ -80,9 +81,9 @@
       return;
     }
     add(peer, -1);
-    peer.take(digest, now);
+    peer.update(digest, now);
     add(peer, 1);
-    checkCut(now);
+    detectNetworkPartition(now);
   }
 
   @Override
@@ -96,9 +97,9 @@
 
   @Override
   public DemandDigest digest(Instant now) {
-    checkCut(now);
-    if (lost.isEmpty()) {
-      remember(now);
+    detectNetworkPartition(now);
+    if (unreachable.isEmpty()) {
+      recordSnapshot(now);
     }
     List<Demand> demands = new ArrayList<>();
     own.forEach((key, amount) -> demands.add(new Demand(key, amount)));
@@ -109,79 +110,81 @@
   public double share(ShareKey key, double limit, Instant now) {
     double others = 0;
     double part = 0;
-    for (DataCentre place : entriesIn.keySet()) {
-      if (!lost.contains(place)) {
-        others += sum(place, key);
-        part += frozenPart(place, key);
+    for (DataCentre centre : entriesPerCentre.keySet()) {
+      if (!unreachable.contains(centre)) {
+        others += sum(centre, key);
+        part += frozenPart(centre, key);
       }
     }
-    // Both sides of a cut know only the other side's last demand. If each took what the other
-    // seemed to leave, the fleet would run over its limit; each keeps the part it had instead.
-    double available = lost.isEmpty() ? limit : limit * part;
-    double floor = limit / entries * FLOOR;
-    return Math.max(floor, divide(available, own.getOrDefault(key, 0.0), others));
+    // In a network partition each side knows only the last demand of the other. If each side took
+    // what the other seems to leave, the fleet would exceed its limit. So each side keeps the part
+    // that it had before.
+    double available = unreachable.isEmpty() ? limit : limit * part;
+    double minimum = limit / entries * MIN_SHARE;
+    return Math.max(minimum, divide(available, own.getOrDefault(key, 0.0), others));
   }
 
-  private static double divide(double limit, double mine, double others) {
-    double all = mine + others;
-    return all <= limit ? limit - others : limit * mine / all;
+  private static double divide(double limit, double demand, double others) {
+    double total = demand + others;
+    return total <= limit ? limit - others : limit * demand / total;
   }
 
-  private double sum(DataCentre place, ShareKey key) {
-    return Math.max(0, sums.getOrDefault(place, Map.of()).getOrDefault(key, 0.0));
+  private double sum(DataCentre centre, ShareKey key) {
+    return Math.max(0, sums.getOrDefault(centre, Map.of()).getOrDefault(key, 0.0));
   }
 
-  private double frozenPart(DataCentre place, ShareKey key) {
-    double even = (double) entriesIn.getOrDefault(place, 0) / entries;
-    return frozen.getOrDefault(place, Map.of()).getOrDefault(key, even);
+  private double frozenPart(DataCentre centre, ShareKey key) {
+    double even = (double) entriesPerCentre.getOrDefault(centre, 0) / entries;
+    return frozen.getOrDefault(centre, Map.of()).getOrDefault(key, even);
   }
 
   private void add(PeerDemand peer, int sign) {
     Map<ShareKey, Double> amounts = sums.computeIfAbsent(peer.dataCentre(), key -> new HashMap<>());
     peer.amounts()
         .forEach(
-            (key, amount) -> amounts.merge(key, sign * amount, DemandShareExchange::sumOrNone));
+            (key, amount) -> amounts.merge(key, sign * amount, DemandShareExchange::sumOrNull));
   }
 
-  /** Returns the sum, or null where none is left, so that idle workspaces take no memory. */
-  private static @Nullable Double sumOrNone(Double one, Double other) {
-    double sum = one + other;
-    return sum < NOTHING ? null : sum;
+  /** Returns the sum, or null if it is zero, so that idle workspaces take no memory. */
+  private static @Nullable Double sumOrNull(Double first, Double second) {
+    double sum = first + second;
+    return sum < EPSILON ? null : sum;
   }
 
-  private void checkCut(Instant now) {
-    Map<DataCentre, Instant> heard = new HashMap<>();
+  private void detectNetworkPartition(Instant now) {
+    Map<DataCentre, Instant> lastHeard = new HashMap<>();
     for (PeerDemand peer : peers.values()) {
       if (!peer.dataCentre().equals(dataCentre)) {
-        heard.merge(peer.dataCentre(), peer.heardAt(), DemandShareExchange::later);
+        lastHeard.merge(peer.dataCentre(), peer.heardAt(), DemandShareExchange::later);
       }
     }
-    heard.values().removeIf(at -> !at.isBefore(now.minus(CUT_AFTER)));
-    if (lost.isEmpty() && !heard.isEmpty()) {
-      frozen = partsAt(heard.values().stream().min(Comparator.naturalOrder()).orElse(now));
+    lastHeard.values().removeIf(at -> !at.isBefore(now.minus(NETWORK_PARTITION_TIMEOUT)));
+    if (unreachable.isEmpty() && !lastHeard.isEmpty()) {
+      frozen = partsAt(lastHeard.values().stream().min(Comparator.naturalOrder()).orElse(now));
     }
-    lost.clear();
-    lost.addAll(heard.keySet());
+    unreachable.clear();
+    unreachable.addAll(lastHeard.keySet());
   }
 
-  private void remember(Instant now) {
-    if (!snapshots.isEmpty() && now.isBefore(snapshots.getLast().at().plus(SNAPSHOT_EVERY))) {
+  private void recordSnapshot(Instant now) {
+    if (!snapshots.isEmpty() && now.isBefore(snapshots.getLast().at().plus(SNAPSHOT_INTERVAL))) {
       return;
     }
     Set<ShareKey> keys = new HashSet<>(own.keySet());
     sums.values().forEach(amounts -> keys.addAll(amounts.keySet()));
     Map<DataCentre, Map<ShareKey, Double>> parts = new HashMap<>();
     for (ShareKey key : keys) {
-      double all = own.getOrDefault(key, 0.0);
-      for (DataCentre place : entriesIn.keySet()) {
-        all += sum(place, key);
+      double total = own.getOrDefault(key, 0.0);
+      for (DataCentre centre : entriesPerCentre.keySet()) {
+        total += sum(centre, key);
       }
-      for (DataCentre place : entriesIn.keySet()) {
-        double here = sum(place, key);
-        here += place.equals(dataCentre) ? own.getOrDefault(key, 0.0) : 0;
-        // One more for each entry leaves a part to a side that asked for nothing at the time.
-        double part = (here + entriesIn.get(place)) / (all + entries);
-        parts.computeIfAbsent(place, any -> new HashMap<>()).put(key, part);
+      for (DataCentre centre : entriesPerCentre.keySet()) {
+        double centreDemand = sum(centre, key);
+        centreDemand += centre.equals(dataCentre) ? own.getOrDefault(key, 0.0) : 0;
+        // Adding one for each entry instance reserves a part for a side that had no demand at this
+        // moment.
+        double part = (centreDemand + entriesPerCentre.get(centre)) / (total + entries);
+        parts.computeIfAbsent(centre, unused -> new HashMap<>()).put(key, part);
       }
     }
     snapshots.add(new Snapshot(now, parts));
@@ -191,10 +194,12 @@
   }
 
   /**
-   * Returns the parts of the data centres when all still knew the same.
+   * Returns the parts of the data centres at the last snapshot that is not later than {@code time},
+   * when all data centres still had the same information.
    *
-   * <p>A cut shows only seconds after it began. Demand that grew meanwhile is unknown to the other
-   * side and must not count, or each side would freeze a part that grew at the other's expense.
+   * <p>A network partition is detected only seconds after it began. Demand that grew in between is
+   * unknown to the other side and must not count; otherwise each side would freeze a part that grew
+   * at the expense of the other.
    */
   private Map<DataCentre, Map<ShareKey, Double>> partsAt(Instant time) {
     Map<DataCentre, Map<ShareKey, Double>> parts = Map.of();
@@ -206,7 +211,7 @@
     return parts;
   }
 
-  private static Instant later(Instant one, Instant other) {
-    return one.isAfter(other) ? one : other;
+  private static Instant later(Instant first, Instant second) {
+    return first.isAfter(second) ? first : second;
   }
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/admission/support/EvenShareExchange.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/admission/support/EvenShareExchange.java
@@ -10,9 +10,9 @@
 import java.util.Map;
 
 /**
- * Naive exchange that gives each entry the same share, whatever its demand.
+ * Simple exchange that gives each entry instance the same share, whatever its demand.
  *
- * <p>The reference of differential tests and the baseline of measurements.
+ * <p>It is the reference implementation in differential tests and the baseline of measurements.
  */
 public final class EvenShareExchange implements ShareExchange {
 
@@ -20,7 +20,7 @@
   private final DataCentre dataCentre;
   private int entries = 1;
 
-  /** Creates the exchange of an entry. */
+  /** Creates the exchange of an entry instance. */
   public EvenShareExchange(InstanceId self, DataCentre dataCentre) {
     this.self = self;
     this.dataCentre = dataCentre;
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/admission/support/FairAdmissionController.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/admission/support/FairAdmissionController.java
@@ -28,10 +28,11 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Controller with a fair queue for each service and class, inside shares of the fleet's limits.
+ * Controller with a fair queue for each service and request class, which applies this instance's
+ * shares of the fleet-wide limits.
  *
- * <p>A request that would miss its deadline is refused when that is known, with the time after
- * which it would probably be taken.
+ * <p>A request is refused as soon as the controller knows that it would miss its deadline. The
+ * refusal contains the time after which the request would probably be admitted.
  */
 public final class FairAdmissionController implements AdmissionController {
 
@@ -45,7 +46,7 @@
   private Catalogue catalogue = Catalogue.EMPTY;
   private long nextNumber;
 
-  /** Creates a controller. */
+  /** Creates a controller that takes its shares of the limits from an exchange. */
   public FairAdmissionController(ShareExchange shares, AdmissionSettings settings) {
     this.shares = shares;
     this.settings = settings;
@@ -74,7 +75,7 @@
     tickets.put(request.id(), ticket);
     pool.add(ticket, weight(request.workspace()));
     use.addWaiting(1);
-    declare(request.service(), pool, request.workspace(), use);
+    updateDemand(request.service(), pool, request.workspace(), use);
     startOffered(ticket, pool, now);
     return ticket.running() ? new AdmissionDecision.Admitted() : new AdmissionDecision.Queued();
   }
@@ -91,12 +92,12 @@
     if (ticket.running()) {
       pool.ended(ticket, now);
       use.addRunning(-1);
-      pools.values().forEach(each -> each.release(request.workspace()));
+      pools.values().forEach(each -> each.resume(request.workspace()));
     } else {
       pool.remove(ticket);
       use.addWaiting(-1);
     }
-    declare(request.service(), pool, request.workspace(), use);
+    updateDemand(request.service(), pool, request.workspace(), use);
     List<Effect> effects = new ArrayList<>();
     startWaiting(request.service(), pool, now, effects);
     return effects;
@@ -107,12 +108,13 @@
     List<Effect> effects = new ArrayList<>();
     pools.forEach(
         (service, pool) -> {
-          refuseHopeless(pool, now, effects);
-          // Shares of workspace limits may have grown by what peers told.
-          pool.releaseAll();
+          refuseOverdue(pool, now, effects);
+          // This instance's shares of workspace limits may have grown because peers reported less
+          // demand.
+          pool.resumeAll();
           startWaiting(service, pool, now, effects);
         });
-    forgetIdle(now);
+    removeIdle(now);
     return effects;
   }
 
@@ -121,7 +123,10 @@
     return pools.values().stream().mapToInt(ServicePool::waiting).sum();
   }
 
-  /** Returns when a request must start to be of use: first token and answer both in time. */
+  /**
+   * Returns the time by which a request must start so that both its first token and its answer are
+   * on time.
+   */
   private Instant startBy(AdmissionRequest request, ServicePool pool, Instant now) {
     Instant forAnswer = request.deadline().minus(pool.serviceTime());
     if (request.requestClass() != RequestClass.INTERACTIVE) {
@@ -137,22 +142,22 @@
 
   private @Nullable Refusal refusal(
       AdmissionRequest request, Instant startBy, ServicePool pool, WorkspaceUse use, Instant now) {
-    Duration wait = wait(request, pool, now);
+    Duration wait = waitTime(request, pool, now);
     if (pool.waiting() >= settings.waitingPerService()
         || pool.waiting(request.workspace()) >= settings.waitingPerWorkspace()) {
-      return limit("too many requests wait", wait);
+      return limitExceeded("too many requests wait", wait);
     }
     Duration late = Duration.between(startBy, now.plus(wait));
-    // The final answer is given now: a caller that is held back until its deadline has lost the
-    // time in which it could have come back or gone elsewhere.
+    // Refuse now: a caller whose request is held until its deadline has lost the time in which it
+    // could have retried or used another service.
     if (!late.isNegative() && !late.isZero()) {
       return Refusal.notRun(
               RefusalReason.DEADLINE_UNREACHABLE, "the request would miss its deadline")
           .retryAfter(bounded(late));
     }
     double rate = workspaceRate(request.workspace(), use, now);
-    if (!use.rate().take(now, rate)) {
-      return limit("the workspace is over its rate", use.rate().wait(rate));
+    if (!use.rate().tryAcquire(now, rate)) {
+      return limitExceeded("the workspace is over its rate", use.rate().waitTime(rate));
     }
     return null;
   }
@@ -160,11 +165,14 @@
   private double workspaceRate(WorkspaceId workspace, WorkspaceUse use, Instant now) {
     ShareKey key = new ShareKey(ShareKey.Kind.WORKSPACE_RATE, workspace.value());
     double limit = limits(workspace).requestsPerSecond();
-    shares.demand(key, use.rate().arrived(now));
+    shares.demand(key, use.rate().recordArrival(now));
     return shares.share(key, limit, now);
   }
 
-  /** Starts the offered request if it is the next; others are left to the next event. */
+  /**
+   * Starts the offered request if it is next in the queue; other queued requests are started by the
+   * next event.
+   */
   private void startOffered(Ticket offered, ServicePool pool, Instant now) {
     ServiceName service = offered.request().service();
     if (pool.running() + 1 <= capacity(service, pool, now) && next(pool, now) == offered) {
@@ -190,8 +198,9 @@
       if (ticket == null || !atLimit(ticket.request().workspace(), now)) {
         return ticket;
       }
-      // A workspace at its own limit is passed over, or all others would wait behind it.
-      queue.park(ticket.request().workspace());
+      // Skip a workspace that has reached its own limit, because all other workspaces would wait
+      // behind it.
+      queue.suspend(ticket.request().workspace());
       queue = pool.next();
     }
     return null;
@@ -204,21 +213,21 @@
     use.addRunning(1);
   }
 
-  private void refuseHopeless(ServicePool pool, Instant now, List<Effect> effects) {
-    Ticket ticket = pool.hopeless(now);
+  private void refuseOverdue(ServicePool pool, Instant now, List<Effect> effects) {
+    Ticket ticket = pool.overdue(now);
     while (ticket != null) {
       AdmissionRequest request = ticket.request();
       pool.remove(ticket);
       tickets.remove(request.id());
       WorkspaceUse use = use(request.workspace(), now);
       use.addWaiting(-1);
-      declare(request.service(), pool, request.workspace(), use);
+      updateDemand(request.service(), pool, request.workspace(), use);
       Refusal refusal =
           Refusal.notRun(
                   RefusalReason.DEADLINE_UNREACHABLE, "the request can no longer meet its deadline")
-              .retryAfter(bounded(wait(request, pool, now)));
+              .retryAfter(bounded(waitTime(request, pool, now)));
       effects.add(new RefuseRequest(request.id(), refusal));
-      ticket = pool.hopeless(now);
+      ticket = pool.overdue(now);
     }
   }
 
@@ -237,14 +246,14 @@
     return use != null && use.running() + 1 > Math.max(1, share);
   }
 
-  private void declare(
+  private void updateDemand(
       ServiceName service, ServicePool pool, WorkspaceId workspace, WorkspaceUse use) {
     shares.demand(
         new ShareKey(ShareKey.Kind.SERVICE, service.value()), pool.running() + pool.waiting());
     shares.demand(new ShareKey(ShareKey.Kind.WORKSPACE, workspace.value()), use.total());
   }
 
-  private void forgetIdle(Instant now) {
+  private void removeIdle(Instant now) {
     uses.entrySet()
         .removeIf(
             entry -> {
@@ -260,11 +269,12 @@
             });
   }
 
-  private Duration wait(AdmissionRequest request, ServicePool pool, Instant now) {
-    return pool.wait(request.requestClass(), request.workspace(), weight(request.workspace()), now);
+  private Duration waitTime(AdmissionRequest request, ServicePool pool, Instant now) {
+    return pool.waitTime(
+        request.requestClass(), request.workspace(), weight(request.workspace()), now);
   }
 
-  private Refusal limit(String detail, Duration wait) {
+  private Refusal limitExceeded(String detail, Duration wait) {
     return Refusal.notRun(RefusalReason.LIMIT_EXCEEDED, detail).retryAfter(bounded(wait));
   }
 
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/admission/support/FairQueue.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/admission/support/FairQueue.java
@@ -10,9 +10,9 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Start-time fair queue across workspaces.
+ * Queue that shares starts fairly among workspaces (start-time fair queueing).
  *
- * <p>Each operation costs the logarithm of the workspaces that wait.
+ * <p>The cost of each operation is logarithmic in the number of waiting workspaces.
  */
 final class FairQueue {
 
@@ -22,7 +22,7 @@
     private final double weight;
     private final Set<Ticket> tickets = new LinkedHashSet<>();
     private double tag;
-    private boolean parked;
+    private boolean suspended;
 
     private Flow(WorkspaceId workspace, double weight) {
       this.workspace = workspace;
@@ -45,7 +45,7 @@
   private double weights;
   private int size;
 
-  /** Adds a request of a workspace with a weight. */
+  /** Adds a request of a workspace that has the given weight. */
   void add(Ticket ticket, double weight) {
     WorkspaceId workspace = ticket.request().workspace();
     Flow flow = flows.get(workspace);
@@ -60,38 +60,41 @@
     size++;
   }
 
-  /** Returns the next request, or null. */
+  /** Returns the next request, or null if there is none. */
   @Nullable Ticket peek() {
     return order.isEmpty() ? null : order.first().tickets.iterator().next();
   }
 
-  /** Passes over a workspace until it is released, so that others do not wait behind it. */
-  void park(WorkspaceId workspace) {
+  /**
+   * Excludes a workspace until {@link #resume} is called, so that other workspaces do not wait
+   * behind it.
+   */
+  void suspend(WorkspaceId workspace) {
     Flow flow = flows.get(workspace);
-    if (flow != null && !flow.parked) {
+    if (flow != null && !flow.suspended) {
       order.remove(flow);
-      flow.parked = true;
+      flow.suspended = true;
     }
   }
 
-  /** Ends {@link #park}. */
-  void release(WorkspaceId workspace) {
+  /** Includes a workspace again after {@link #suspend}. */
+  void resume(WorkspaceId workspace) {
     Flow flow = flows.get(workspace);
-    if (flow != null && flow.parked) {
-      flow.parked = false;
+    if (flow != null && flow.suspended) {
+      flow.suspended = false;
       flow.tag = Math.max(flow.tag, virtualTime);
       order.add(flow);
     }
   }
 
-  /** Ends {@link #park} for all workspaces. */
-  void releaseAll() {
+  /** Includes all workspaces again after {@link #suspend}. */
+  void resumeAll() {
     if (order.size() < flows.size()) {
-      flows.keySet().forEach(this::release);
+      flows.keySet().forEach(this::resume);
     }
   }
 
-  /** Removes a request that starts, which charges its workspace. */
+  /** Removes a request that starts, and charges its workspace for it. */
   void start(Ticket ticket) {
     Flow flow = flows.get(ticket.request().workspace());
     if (flow != null && flow.tickets.remove(ticket)) {
@@ -99,7 +102,7 @@
       order.remove(flow);
       virtualTime = Math.max(virtualTime, flow.tag);
       flow.tag += 1 / flow.weight;
-      keepOrForget(flow);
+      reinsertOrRemove(flow);
     }
   }
 
@@ -109,22 +112,22 @@
     if (flow != null && flow.tickets.remove(ticket)) {
       size--;
       order.remove(flow);
-      keepOrForget(flow);
+      reinsertOrRemove(flow);
     }
   }
 
-  /** Returns how many requests wait. */
+  /** Returns the number of waiting requests. */
   int size() {
     return size;
   }
 
-  /** Returns how many requests of a workspace wait. */
+  /** Returns the number of waiting requests of a workspace. */
   int size(WorkspaceId workspace) {
     Flow flow = flows.get(workspace);
     return flow == null ? 0 : flow.tickets.size();
   }
 
-  /** Returns how many requests would start before a new one of a workspace. */
+  /** Estimates the number of requests that would start before a new request of a workspace. */
   double ahead(WorkspaceId workspace, double weight) {
     Flow flow = flows.get(workspace);
     double active = weights + (flow == null ? weight : 0);
@@ -133,11 +136,11 @@
     return Math.min(size, before);
   }
 
-  private void keepOrForget(Flow flow) {
+  private void reinsertOrRemove(Flow flow) {
     if (flow.tickets.isEmpty()) {
       flows.remove(flow.workspace);
       weights = flows.isEmpty() ? 0 : weights - flow.weight;
-    } else if (!flow.parked) {
+    } else if (!flow.suspended) {
       order.add(flow);
     }
   }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/admission/support/FifoAdmissionController.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/admission/support/FifoAdmissionController.java
@@ -17,9 +17,9 @@
 import java.util.Set;
 
 /**
- * Naive controller with one queue in order of arrival and one limit of requests in progress.
+ * Simple controller with one queue in order of arrival and one limit on requests in progress.
  *
- * <p>The reference of differential tests and the baseline of measurements.
+ * <p>It is the reference implementation in differential tests and the baseline of measurements.
  */
 public final class FifoAdmissionController implements AdmissionController {
 
@@ -27,7 +27,7 @@
   private final Deque<RequestId> queue = new ArrayDeque<>();
   private final Set<RequestId> running = new HashSet<>();
 
-  /** Creates a controller that lets {@code limit} requests run at once. */
+  /** Creates a controller that runs at most {@code limit} requests at once. */
   public FifoAdmissionController(int limit) {
     this.limit = limit;
   }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/admission/support/PeerDemand.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/admission/support/PeerDemand.java
@@ -8,7 +8,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The last demand that one peer has told. */
+/** The latest demand that a peer has reported. */
 final class PeerDemand {
 
   private final DataCentre dataCentre;
@@ -21,18 +21,18 @@
     this.heardAt = now;
   }
 
-  /** Takes a digest unless a later one has come. */
-  void take(DemandDigest digest, Instant now) {
+  /** Applies a digest, unless a later one has already arrived. */
+  void update(DemandDigest digest, Instant now) {
     heardAt = now;
     if (digest.sequence() <= sequence) {
       return;
     }
     sequence = digest.sequence();
-    Map<ShareKey, Double> taken = new HashMap<>();
+    Map<ShareKey, Double> reported = new HashMap<>();
     for (Demand demand : digest.demands()) {
-      taken.put(demand.key(), demand.amount());
+      reported.put(demand.key(), demand.amount());
     }
-    amounts = taken;
+    amounts = reported;
   }
 
   DataCentre dataCentre() {
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/admission/support/ServicePool.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/admission/support/ServicePool.java
@@ -10,7 +10,10 @@
 import java.util.TreeSet;
 import org.jspecify.annotations.Nullable;
 
-/** Requests of one service at this entry: what runs, what waits, and how fast it ends. */
+/**
+ * Requests of one service at this entry instance: the running ones, the waiting ones, and the rate
+ * at which they end.
+ */
 final class ServicePool {
 
   private static final double SMOOTHING = 0.05;
@@ -64,7 +67,7 @@
     byStart.remove(ticket);
   }
 
-  /** Moves a waiting request that {@link #next} has named to those in progress. */
+  /** Starts a waiting request that {@link #next} has returned. */
   void start(Ticket ticket, Instant now) {
     queues.get(ticket.request().requestClass()).start(ticket);
     byStart.remove(ticket);
@@ -84,29 +87,31 @@
     endsAt = now;
   }
 
-  /** Returns the queue whose request is next, or null when none may start. */
+  /** Returns the queue that contains the next request to start, or null if none may start. */
   @Nullable FairQueue next() {
     FairQueue interactive = queues.get(RequestClass.INTERACTIVE);
     FairQueue bulk = queues.get(RequestClass.BULK);
-    boolean turnOfBulk = starts % bulkEvery == bulkEvery - 1;
-    // Interactive requests go first; without a turn now and then a steady stream of them would
-    // hold up bulk requests for as long as it lasts.
-    if (interactive.peek() != null && !(turnOfBulk && bulk.peek() != null)) {
+    boolean bulkTurn = starts % bulkEvery == bulkEvery - 1;
+    // Interactive requests go first. Without an occasional turn for bulk requests, a steady stream
+    // of interactive ones would delay them for as long as it lasts.
+    if (interactive.peek() != null && !(bulkTurn && bulk.peek() != null)) {
       return interactive;
     }
     return bulk.peek() != null ? bulk : nonEmpty(queues.get(RequestClass.BATCH));
   }
 
-  void release(WorkspaceId workspace) {
-    queues.values().forEach(queue -> queue.release(workspace));
+  void resume(WorkspaceId workspace) {
+    queues.values().forEach(queue -> queue.resume(workspace));
   }
 
-  void releaseAll() {
-    queues.values().forEach(FairQueue::releaseAll);
+  void resumeAll() {
+    queues.values().forEach(FairQueue::resumeAll);
   }
 
-  /** Returns a waiting request that should have started before now, or null. */
-  @Nullable Ticket hopeless(Instant now) {
+  /**
+   * Returns a waiting request whose latest useful start time has passed, or null if there is none.
+   */
+  @Nullable Ticket overdue(Instant now) {
     if (byStart.isEmpty()) {
       return null;
     }
@@ -114,13 +119,13 @@
     return now.isAfter(first.startBy()) ? first : null;
   }
 
-  /** Returns how long requests take from their start to their end. */
+  /** Returns the average time from the start of a request to its end. */
   Duration serviceTime() {
     return Duration.ofMillis((long) serviceMillis);
   }
 
-  /** Returns how long a new request would probably wait. */
-  Duration wait(RequestClass requestClass, WorkspaceId workspace, double weight, Instant now) {
+  /** Estimates how long a new request would wait. */
+  Duration waitTime(RequestClass requestClass, WorkspaceId workspace, double weight, Instant now) {
     double ahead = queues.get(requestClass).ahead(workspace, weight);
     if (requestClass == RequestClass.BULK) {
       ahead += queues.get(RequestClass.INTERACTIVE).size();
@@ -129,8 +134,8 @@
   }
 
   private double millisPerEnd(Instant now) {
-    // Before the first request has ended nothing is known about the pace; refusing on a guess
-    // would turn callers away from idle endpoints.
+    // Before the first request has ended the pace is unknown; refusing requests on a guess would
+    // turn callers away from idle endpoints.
     if (serviceMillis == 0) {
       return 0;
     }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/admission/support/Ticket.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/admission/support/Ticket.java
@@ -3,7 +3,7 @@
 import io.hawthornlb.core.admission.AdmissionRequest;
 import java.time.Instant;
 
-/** An offered request that waits or runs. */
+/** State of an offered request that waits or runs. */
 final class Ticket {
 
   private final AdmissionRequest request;
@@ -22,12 +22,12 @@
     return request;
   }
 
-  /** Returns its place in the order of arrival. */
+  /** Returns the position of the request in the order of arrival. */
   long number() {
     return number;
   }
 
-  /** Returns the time after which starting it is of no use to its caller. */
+  /** Returns the time after which it is useless for the caller to start the request. */
   Instant startBy() {
     return startBy;
   }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/admission/support/WorkspaceUse.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/admission/support/WorkspaceUse.java
@@ -2,7 +2,10 @@
 
 import java.time.Instant;
 
-/** Requests of one workspace at this entry; exists only while there are any, and shortly after. */
+/**
+ * Counts the requests of one workspace at this entry instance. An object of this class exists only
+ * while the workspace has requests, and shortly afterwards.
+ */
 final class WorkspaceUse {
 
   private final RateMeter rate;
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/admission/support/package-info.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/admission/support/package-info.java
@@ -1,4 +1,4 @@
-/** Admission controllers, fair queues and the exchange of shares. */
+/** Admission controllers, fair queues, and the exchange of shares of the limits. */
 @NullMarked
 package io.hawthornlb.core.admission.support;
 
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/admission/AdmissionFailureTest.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/admission/AdmissionFailureTest.java
@@ -3,8 +3,8 @@
 import static io.hawthornlb.core.admission.AdmissionFixture.REPORTS;
 import static io.hawthornlb.core.admission.AdmissionFixture.SHEETS;
 import static io.hawthornlb.core.admission.AdmissionFixture.START;
-import static io.hawthornlb.core.admission.AdmissionFixture.alone;
 import static io.hawthornlb.core.admission.AdmissionFixture.request;
+import static io.hawthornlb.core.admission.AdmissionFixture.singleEntry;
 import static io.hawthornlb.core.admission.AdmissionFixture.started;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -25,19 +25,21 @@
 
 class AdmissionFailureTest {
 
-  // The office screens stand still while a buyer's reports wait for engines: both services share
-  // one queue, the reports are at its head, and the sheet lookups wait behind them.
+  // Guards against a full service that delays another one: both services share one queue, the
+  // requests of the full service are at its head, and the requests of the other service wait
+  // behind them.
   @Test
-  void aFullServiceDoesNotHoldUpAnother() {
-    assertFalse(sheetStartsBehindReports(new FifoAdmissionController(2)), "the naive twin");
-    assertTrue(sheetStartsBehindReports(alone(2)));
+  void aFullServiceDoesNotDelayAnother() {
+    assertFalse(sheetStartsBehindReports(new FifoAdmissionController(2)), "the baseline");
+    assertTrue(sheetStartsBehindReports(singleEntry(2)));
   }
 
-  // A store hand waits for seconds although engines are free: a buyer's desk is at its limit of
-  // requests in progress, its next one is at the head of the queue, and all others wait behind.
+  // Guards against a workspace at its limit that delays others although engines are free: a
+  // workspace has reached its limit of requests in progress, its next request is at the head of
+  // the queue, and the requests of all other workspaces wait behind it.
   @Test
-  void aWorkspaceAtItsLimitDoesNotHoldUpAnother() {
-    AdmissionController controller = alone(10);
+  void aWorkspaceAtItsLimitDoesNotDelayOthers() {
+    AdmissionController controller = singleEntry(10);
     controller.onCatalogue(AdmissionFixture.workspace("desk", new Limits(1_000, 2, 1)));
     for (int i = 0; i < 5; i++) {
       controller.offer(request("d-" + i, REPORTS, "desk", RequestClass.INTERACTIVE, 60), START);
@@ -49,28 +51,29 @@
     assertEquals(1, started(controller.onFinished(new RequestId("d-0"), START)).size());
   }
 
-  // A quick check takes a minute: a desk has sent a hundred reports, all wait in order of arrival,
-  // and the store hand's check is the last of them.
+  // Guards against an interactive request that waits a minute: a workspace has sent a hundred bulk
+  // requests, all requests wait in order of arrival, and the interactive request is the last of
+  // them.
   @Test
   void anInteractiveRequestGoesBeforeBulkOnes() {
-    AdmissionController naive = new FifoAdmissionController(1);
-    AdmissionController guarded = alone(1);
-    for (AdmissionController controller : new AdmissionController[] {naive, guarded}) {
+    AdmissionController fifo = new FifoAdmissionController(1);
+    AdmissionController fair = singleEntry(1);
+    for (AdmissionController controller : new AdmissionController[] {fifo, fair}) {
       for (int i = 0; i < 100; i++) {
         controller.offer(request("b-" + i, REPORTS, "desk", RequestClass.BULK, 600), START);
       }
       controller.offer(request("hand", REPORTS, "floor", RequestClass.INTERACTIVE, 60), START);
     }
     RequestId first = new RequestId("b-0");
-    assertEquals("b-1", started(naive.onFinished(first, START)).get(0));
-    assertEquals("hand", started(guarded.onFinished(first, START)).get(0));
+    assertEquals("b-1", started(fifo.onFinished(first, START)).get(0));
+    assertEquals("hand", started(fair.onFinished(first, START)).get(0));
   }
 
-  // A caller within its limit is refused: each tick cut its unused tokens down to one, so that
-  // two requests in the same 50 ms were one too many. Found by the steady scenario.
+  // Guards against refusing a caller within its rate limit: if each tick cut the unused tokens of
+  // a workspace down to one, the second of two requests in the same 50 ms would be refused.
   @Test
-  void ticksTakeNothingFromTheRateOfAWorkspace() {
-    AdmissionController controller = alone(1_000);
+  void ticksTakeNoTokensFromAWorkspace() {
+    AdmissionController controller = singleEntry(1_000);
     Instant now = START;
     for (int i = 0; i < 200; i++) {
       now = now.plusMillis(50);
@@ -90,11 +93,11 @@
     }
   }
 
-  // A coordinator gets an answer only after half a minute, and it is a refusal: the request could
-  // not be done in time from the start, but was held until its deadline passed.
+  // Guards against a refusal that a caller gets only after half a minute: the request could not
+  // meet its deadline from the start, but was held until the deadline passed.
   @Test
-  void aHopelessRequestIsRefusedAtOnceWithATimeToComeBack() {
-    AdmissionController controller = alone(1);
+  void aRequestThatWouldMissItsDeadlineIsRefusedAtOnceWithARetryTime() {
+    AdmissionController controller = singleEntry(1);
     Instant now = START;
     for (int i = 0; i < 5; i++) {
       controller.offer(request("r-" + i, REPORTS, "floor", RequestClass.INTERACTIVE, 60), now);
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/admission/AdmissionFixture.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/admission/AdmissionFixture.java
@@ -16,14 +16,14 @@
 import java.util.List;
 import java.util.Map;
 
-/** Requests and controllers for the tests of admission. */
+/** Creates requests and controllers for the tests of admission control. */
 final class AdmissionFixture {
 
   static final ServiceName REPORTS = new ServiceName("log-reader");
   static final ServiceName SHEETS = new ServiceName("sheet-svc");
   static final Instant START = Instant.EPOCH;
   private static final InstanceId SELF = new InstanceId("entry-0");
-  private static final DataCentre NADI = new DataCentre("nadi-b");
+  private static final DataCentre CENTRE = new DataCentre("nadi-b");
 
   private AdmissionFixture() {}
 
@@ -37,9 +37,9 @@
         START.plusSeconds(seconds));
   }
 
-  static FairAdmissionController alone(int slots) {
-    DemandShareExchange shares = new DemandShareExchange(SELF, NADI);
-    shares.onEntries(Map.of(SELF, NADI), START);
+  static FairAdmissionController singleEntry(int slots) {
+    DemandShareExchange shares = new DemandShareExchange(SELF, CENTRE);
+    shares.onEntries(Map.of(SELF, CENTRE), START);
     FairAdmissionController controller =
         new FairAdmissionController(shares, AdmissionSettings.DEFAULT);
     controller.onCapacity(REPORTS, slots, START);
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/admission/AdmissionPropertyTest.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/admission/AdmissionPropertyTest.java
@@ -22,14 +22,14 @@
 
   private static final int SLOTS = 3;
 
-  // A caller would wait for ever and a slot would stay taken: a new request comes while others
-  // wait and there is room; the controller starts those others while it decides on the new one,
-  // and the effects that say so are lost. Found by the burst scenario, where the engines ran idle
-  // while requests waited for 17 s.
+  // Guards against a request that waits forever and keeps its slot occupied: a new request arrives
+  // while others wait and slots are free, the controller starts the waiting requests while it
+  // decides on the new one, and the effects that start them are lost. Then engines are idle while
+  // requests wait, for example for 17 s during a burst.
   @Property(tries = 200, seed = "20261202")
   void everyRequestIsStartedOrRefusedOnce(@ForAll long seed) {
     Random random = new Random(seed);
-    AdmissionController controller = AdmissionFixture.alone(SLOTS);
+    AdmissionController controller = AdmissionFixture.singleEntry(SLOTS);
     Set<RequestId> waiting = new HashSet<>();
     Set<RequestId> running = new HashSet<>();
     Instant now = START;
@@ -41,9 +41,9 @@
       } else if (action == 2 && !running.isEmpty()) {
         RequestId ended = running.iterator().next();
         running.remove(ended);
-        take(controller.onFinished(ended, now), waiting, running);
+        apply(controller.onFinished(ended, now), waiting, running);
       } else {
-        take(controller.onTick(now), waiting, running);
+        apply(controller.onTick(now), waiting, running);
       }
       assertTrue(running.size() <= 2 * SLOTS, "more in progress than slots of both services");
       assertEquals(waiting.size(), controller.waiting());
@@ -58,10 +58,10 @@
       now = now.plusMillis(100);
       for (RequestId id : List.copyOf(running)) {
         running.remove(id);
-        take(controller.onFinished(id, now), waiting, running);
+        apply(controller.onFinished(id, now), waiting, running);
       }
-      take(controller.onTick(now), waiting, running);
-      assertTrue(now.isBefore(at.plusSeconds(600)), "requests wait for ever");
+      apply(controller.onTick(now), waiting, running);
+      assertTrue(now.isBefore(at.plusSeconds(600)), "requests wait forever");
     }
   }
 
@@ -88,7 +88,7 @@
     }
   }
 
-  private static void take(List<Effect> effects, Set<RequestId> waiting, Set<RequestId> running) {
+  private static void apply(List<Effect> effects, Set<RequestId> waiting, Set<RequestId> running) {
     for (Effect effect : effects) {
       if (effect instanceof StartRequest start) {
         assertTrue(waiting.remove(start.id()), "started a request that did not wait");
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/admission/ShareExchangeTest.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/admission/ShareExchangeTest.java
@@ -23,7 +23,7 @@
   private static final ShareKey KEY = new ShareKey(ShareKey.Kind.SERVICE, "log-reader");
   private static final int ENTRIES = 13;
   private static final double LIMIT = 96;
-  private static final double FLOORS = LIMIT * 0.02;
+  private static final double MIN_SHARES = LIMIT * 0.02;
 
   @Property(tries = 100, seed = "20261202")
   void usedSharesStayWithinTheLimit(@ForAll long seed) {
@@ -35,26 +35,28 @@
       fleet.get(i).demand(KEY, demands[i]);
     }
     exchange(fleet, (from, to) -> true, Instant.EPOCH);
-    assertTrue(used(fleet, demands, Instant.EPOCH) <= LIMIT + FLOORS);
+    assertTrue(used(fleet, demands, Instant.EPOCH) <= LIMIT + MIN_SHARES);
   }
 
-  // A burst at one entry waits although the fleet is idle: each entry owns a fixed part of the
-  // limit, and what the others leave unused cannot be had.
+  // Guards against a burst at one entry instance that waits although the fleet is idle: with a
+  // fixed part of the limit for each entry instance, the parts that others leave unused cannot be
+  // used.
   @Test
-  void oneEntryMayUseWhatOthersLeave() {
-    List<ShareExchange> naive = fleet(false);
-    List<ShareExchange> guarded = fleet(true);
-    naive.get(0).demand(KEY, 60);
-    guarded.get(0).demand(KEY, 60);
-    exchange(guarded, (from, to) -> true, Instant.EPOCH);
-    assertTrue(naive.get(0).share(KEY, LIMIT, Instant.EPOCH) < 8, "the naive twin");
-    assertTrue(guarded.get(0).share(KEY, LIMIT, Instant.EPOCH) >= 60);
+  void oneEntryMayUseTheSharesThatOthersLeave() {
+    List<ShareExchange> even = fleet(false);
+    List<ShareExchange> byDemand = fleet(true);
+    even.get(0).demand(KEY, 60);
+    byDemand.get(0).demand(KEY, 60);
+    exchange(byDemand, (from, to) -> true, Instant.EPOCH);
+    assertTrue(even.get(0).share(KEY, LIMIT, Instant.EPOCH) < 8, "the baseline");
+    assertTrue(byDemand.get(0).share(KEY, LIMIT, Instant.EPOCH) >= 60);
   }
 
-  // Engines are overrun during a cut: each side hears nothing of the other, takes the other's
-  // part for unused, and both together admit more than the limit.
+  // Guards against overloaded engines during a network partition: each side receives nothing from
+  // the other, considers the other side's part unused, and both sides together admit more than the
+  // limit.
   @Test
-  void bothSidesOfACutTogetherKeepTheLimit() {
+  void bothSidesOfANetworkPartitionTogetherKeepTheLimit() {
     List<ShareExchange> fleet = fleet(true);
     double[] demands = new double[ENTRIES];
     for (int i = 0; i < ENTRIES; i++) {
@@ -72,10 +74,10 @@
     exchange(fleet, (from, to) -> (from % 4 == 0) == (to % 4 == 0), later);
     exchange(fleet, (from, to) -> (from % 4 == 0) == (to % 4 == 0), later.plusMillis(100));
     double all = used(fleet, demands, later.plusMillis(100));
-    assertTrue(all <= LIMIT + FLOORS, () -> "both sides use " + all);
+    assertTrue(all <= LIMIT + MIN_SHARES, () -> "both sides use " + all);
     assertTrue(all >= LIMIT * 0.95, () -> "both sides use only " + all);
     exchange(fleet, (from, to) -> true, later.plusSeconds(1));
-    assertEquals(LIMIT, used(fleet, demands, later.plusSeconds(1)), FLOORS);
+    assertEquals(LIMIT, used(fleet, demands, later.plusSeconds(1)), MIN_SHARES);
   }
 
   private static double used(List<ShareExchange> fleet, double[] demands, Instant now) {
@@ -99,7 +101,7 @@
     }
   }
 
-  private static List<ShareExchange> fleet(boolean guarded) {
+  private static List<ShareExchange> fleet(boolean byDemand) {
     Map<InstanceId, DataCentre> members = new HashMap<>();
     for (int i = 0; i < ENTRIES; i++) {
       members.put(id(i), centre(i));
@@ -107,7 +109,7 @@
     List<ShareExchange> fleet = new ArrayList<>();
     for (int i = 0; i < ENTRIES; i++) {
       ShareExchange entry =
-          guarded
+          byDemand
               ? new DemandShareExchange(id(i), centre(i))
               : new EvenShareExchange(id(i), centre(i));
       entry.onEntries(members, Instant.EPOCH);
