--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/routing/InFlight.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/routing/InFlight.java
@@ -4,10 +4,10 @@
 import io.hawthornlb.core.util.Checks;
 
 /**
- * Requests of one entry that are in flight at one endpoint.
+ * Number of requests of one entry instance that are in flight at one endpoint.
  *
- * @param endpoint the endpoint
- * @param count how many
+ * @param endpoint id of the endpoint
+ * @param count number of requests
  */
 public record InFlight(EndpointId endpoint, int count) {
 
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/routing/InFlightDigest.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/routing/InFlightDigest.java
@@ -6,17 +6,18 @@
 import java.util.List;
 
 /**
- * Tells peers the counts of requests in flight of one entry.
+ * Reports the numbers of requests that one entry instance has in flight to its peers.
  *
- * @param sender whose requests they are
- * @param asOf when it was true
- * @param whole whether endpoints that are left out have none, or have not changed
- * @param counts the counts
+ * @param sender the entry instance that sends the digest
+ * @param asOf time for which the counts hold
+ * @param whole true if endpoints that are not listed have no requests in flight; false if their
+ *     counts have not changed
+ * @param counts number of requests for each endpoint
  */
 public record InFlightDigest(InstanceId sender, Instant asOf, boolean whole, List<InFlight> counts)
     implements PeerMessage {
 
-  /** Copies the counts. */
+  /** Copies the list of counts. */
   public InFlightDigest {
     counts = List.copyOf(counts);
   }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/routing/PrefixEvent.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/routing/PrefixEvent.java
@@ -1,19 +1,19 @@
 package io.hawthornlb.core.routing;
 
 /**
- * One cache event of an engine.
+ * An event of an engine's prefix cache.
  *
- * @param sequence its number; gaps mean lost events
- * @param prefix the prefix hash
- * @param kind stored or evicted
+ * @param sequence sequence number; a gap means that events were lost
+ * @param prefix hash of the prompt prefix
+ * @param kind whether the prefix was stored or evicted
  */
 public record PrefixEvent(long sequence, String prefix, Kind kind) {
 
-  /** What happened to the prefix. */
+  /** Kind of a cache event. */
   public enum Kind {
-    /** The engine now holds it. */
+    /** The engine now holds the prefix. */
     STORED,
-    /** The engine no longer holds it. */
+    /** The engine no longer holds the prefix. */
     EVICTED
   }
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/routing/PrefixIndex.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/routing/PrefixIndex.java
@@ -5,21 +5,27 @@
 import java.util.Collection;
 import java.util.List;
 
-/** Knows which endpoints probably hold a prefix; every answer is a hint with an age. */
+/**
+ * Index of the endpoints that probably hold a prompt prefix in their cache. Each entry is only a
+ * hint, which loses confidence with age.
+ */
 public interface PrefixIndex {
 
-  /** Takes cache events of an endpoint, late and with gaps. */
+  /** Handles cache events of an endpoint, which may arrive late and with gaps. */
   void onEvents(EndpointId endpoint, List<PrefixEvent> events, Instant now);
 
-  /** Notes that a request with these prefixes was sent to an endpoint, ahead of any event. */
+  /**
+   * Records that a request with these prefixes was sent to an endpoint, before any cache event
+   * arrives.
+   */
   void onRouted(EndpointId endpoint, List<String> prefixes, Instant now);
 
-  /** Drops all hints about an endpoint that has restarted or gone. */
+  /** Invalidates all hints about an endpoint that has restarted or gone. */
   void onLost(EndpointId endpoint, Instant now);
 
-  /** Returns the endpoints that may hold a prefix, most recent first, a few at most. */
+  /** Returns the endpoints that may hold a prefix: a few at most, the most recent first. */
   Collection<EndpointId> holders(String prefix, Instant now);
 
-  /** Returns how likely it is that an endpoint holds a prefix, 0 to 1. */
+  /** Returns the probability that an endpoint holds a prefix, from 0 to 1. */
   double confidence(EndpointId endpoint, String prefix, Instant now);
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/routing/Route.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/routing/Route.java
@@ -4,12 +4,12 @@
 import io.hawthornlb.core.model.EndpointId;
 
 /**
- * Where a request goes.
+ * Destination of a request.
  *
- * @param endpoint the endpoint
- * @param address its host and port
- * @param dataCentre where it runs
- * @param costMillis the estimated cost in milliseconds by which it was chosen
+ * @param endpoint id of the chosen endpoint
+ * @param address host and port of the endpoint
+ * @param dataCentre data centre of the endpoint
+ * @param costMillis estimated cost in milliseconds by which the router chose the endpoint
  */
 public record Route(
     EndpointId endpoint, String address, DataCentre dataCentre, double costMillis) {}
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/routing/RouteRequest.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/routing/RouteRequest.java
@@ -12,17 +12,17 @@
 import java.util.Set;
 
 /**
- * What a router needs to know about one request.
+ * The properties of a request that a router needs.
  *
- * @param id the request
- * @param service the service that it asks for
- * @param workspace whose request it is
- * @param requestClass its class
- * @param origin the data centre of the entry that has it
- * @param prefixes hashes of its prompt prefixes, shortest first; empty for plain services
+ * @param id id of the request
+ * @param service service that the request is for
+ * @param workspace workspace that the request belongs to
+ * @param requestClass class of the request
+ * @param origin data centre of the entry instance that received the request
+ * @param prefixes hashes of the prompt prefixes, shortest first; empty for services without prompts
  * @param excluded endpoints that must not be chosen
  * @param promptTokens estimated length of the prompt
- * @param deadline by when the answer is due
+ * @param deadline time by which the answer is due
  */
 public record RouteRequest(
     RequestId id,
@@ -35,14 +35,14 @@
     int promptTokens,
     Instant deadline) {
 
-  /** Checks the length and copies the collections. */
+  /** Checks the prompt length and copies the collections. */
   public RouteRequest {
     Checks.notNegative(promptTokens, "prompt tokens");
     prefixes = List.copyOf(prefixes);
     excluded = Set.copyOf(excluded);
   }
 
-  /** Returns this request with other endpoints excluded. */
+  /** Returns this request with another set of excluded endpoints. */
   public RouteRequest excluding(Set<EndpointId> endpoints) {
     return new RouteRequest(
         id, service, workspace, requestClass, origin, prefixes, endpoints, promptTokens, deadline);
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/routing/RouterSettings.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/routing/RouterSettings.java
@@ -4,18 +4,21 @@
 import java.util.Set;
 
 /**
- * Terms and weights of a cost router.
+ * Cost terms and weights of a cost router.
  *
- * @param terms the terms in use
+ * @param terms the cost terms in use
  * @param distanceMillis cost of leaving the data centre of the caller
  * @param serviceMillis typical time of a request at an endpoint
- * @param crowdingShare part of that time by which a full endpoint is slower than an idle one
- * @param prefillMillisPerToken time to read one prompt token that is not cached
+ * @param crowdingShare fraction of the typical time by which a full endpoint is slower than an idle
+ *     one
+ * @param prefillMillisPerToken time to process one prompt token that is not cached
  * @param failureMillis cost of one recent failure
- * @param doubtMillis cost of another data centre once this request has failed in one
- * @param defaultSlots slots of an endpoint that has not reported
- * @param scanAtMost services with at most so many endpoints are looked at whole
- * @param samples endpoints that are drawn from larger ones
+ * @param doubtMillis cost of a remote data centre after an attempt of the same request has failed
+ *     in a remote one
+ * @param defaultSlots number of slots assumed for an endpoint that has not reported its load
+ * @param scanAtMost maximum number of endpoints of a service for which the router compares all of
+ *     them
+ * @param samples number of random endpoints that the router draws from larger services
  */
 public record RouterSettings(
     Set<RouterTerm> terms,
@@ -24,12 +27,12 @@
     double crowdingShare,
     double prefillMillisPerToken,
     double failureMillis,
-    double doubtMillis,
+    double remoteFailureMillis,
     int defaultSlots,
     int scanAtMost,
     int samples) {
 
-  /** Copies the terms. */
+  /** Copies the set of terms. */
   public RouterSettings {
     terms = Set.copyOf(terms);
   }
@@ -39,7 +42,7 @@
     return new Builder();
   }
 
-  /** Collects the values of {@link RouterSettings}. */
+  /** Builder of {@link RouterSettings}. */
   public static final class Builder {
 
     private final Set<RouterTerm> terms = EnumSet.allOf(RouterTerm.class);
@@ -48,11 +51,11 @@
     private double crowdingShare = 0.2;
     private double prefillMillisPerToken = 0.1;
     private double failureMillis = 500;
-    private double doubtMillis = 2_000;
+    private double remoteFailureMillis = 2_000;
 
     private Builder() {}
 
-    /** Takes a term out. */
+    /** Removes a cost term. */
     public Builder without(RouterTerm term) {
       terms.remove(term);
       return this;
@@ -70,13 +73,13 @@
       return this;
     }
 
-    /** Sets by how much a full endpoint is slower; a fifth by default. */
+    /** Sets the fraction by which a full endpoint is slower; a fifth by default. */
     public Builder crowdingShare(double value) {
       this.crowdingShare = value;
       return this;
     }
 
-    /** Sets the time to read a prompt token; 0.1 ms by default. */
+    /** Sets the time to process a prompt token; 0.1 ms by default. */
     public Builder prefillMillisPerToken(double value) {
       this.prefillMillisPerToken = value;
       return this;
@@ -88,9 +91,11 @@
       return this;
     }
 
-    /** Sets the cost of doubt about other data centres; 2 seconds by default. */
-    public Builder doubtMillis(double value) {
-      this.doubtMillis = value;
+    /**
+     * Sets the cost of a remote data centre after a failure in a remote one; 2 seconds by default.
+     */
+    public Builder remoteFailureMillis(double value) {
+      this.remoteFailureMillis = value;
       return this;
     }
 
@@ -103,7 +108,7 @@
           crowdingShare,
           prefillMillisPerToken,
           failureMillis,
-          doubtMillis,
+          remoteFailureMillis,
           16,
           16,
           6);
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/routing/RouterTerm.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/routing/RouterTerm.java
@@ -1,12 +1,15 @@
 package io.hawthornlb.core.routing;
 
-/** A term of the cost by which a router chooses; each can be taken out to measure its worth. */
+/**
+ * Term of the cost by which a router chooses an endpoint. Each term can be disabled, so that its
+ * effect can be measured.
+ */
 public enum RouterTerm {
   /** Load reports of the endpoints. */
   LOAD_REPORT,
-  /** Own and peers' requests since the report. */
+  /** Requests of this instance and its peers since the load report. */
   IN_FLIGHT,
-  /** Cached prefixes. */
+  /** Prompt prefixes that the endpoint has cached. */
   PREFIX,
   /** Recent failures. */
   FAILURES,
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/routing/package-info.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/routing/package-info.java
@@ -1,4 +1,4 @@
-/** Chooses the endpoint of each online request. */
+/** Routing: chooses the endpoint of each online request. */
 @NullMarked
 package io.hawthornlb.core.routing;
 
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/routing/support/CostRouter.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/routing/support/CostRouter.java
@@ -23,14 +23,15 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Router that compares a few endpoints by the time that a request would probably take there.
+ * Router that compares endpoints by the time that a request would probably take there.
  *
- * <p>Small services are looked at whole. Of large ones it looks at the probable holders of the
- * prompt's prefix and at a few drawn at random, so that a decision costs the same at any size.
+ * <p>For a small service the router compares all endpoints. For a large service it compares the
+ * probable holders of the prompt's prefix and a few endpoints drawn at random, so that the cost of
+ * a decision does not depend on the size of the service.
  */
 public final class CostRouter implements Router {
 
-  private static final Duration COME_BACK_AFTER = Duration.ofSeconds(1);
+  private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
 
   private final EndpointTable endpoints;
   private final PrefixIndex prefixes;
@@ -55,18 +56,21 @@
   @Override
   public Either<Refusal, Route> choose(RouteRequest request, Instant now) {
     List<Endpoint> all = endpoints.of(request.service());
-    Set<DataCentre> doubtful = doubtful(request);
-    Route best = best(candidates(request, all, now), doubtful, request, now);
+    Set<DataCentre> suspectCentres = suspectCentres(request);
+    Route best = cheapest(candidates(request, all, now), suspectCentres, request, now);
     if (best == null && all.size() > settings.scanAtMost()) {
-      best = best(all, doubtful, request, now);
+      best = cheapest(all, suspectCentres, request, now);
     }
     return best == null ? Either.left(noEndpoint()) : Either.right(best);
   }
 
-  private @Nullable Route best(
-      List<Endpoint> candidates, Set<DataCentre> doubtful, RouteRequest request, Instant now) {
+  private @Nullable Route cheapest(
+      List<Endpoint> candidates,
+      Set<DataCentre> suspectCentres,
+      RouteRequest request,
+      Instant now) {
     Endpoint best = null;
-    double least = Double.MAX_VALUE;
+    double leastMillis = Double.MAX_VALUE;
     int offset = candidates.isEmpty() ? 0 : random.nextInt(candidates.size());
     for (int i = 0; i < candidates.size(); i++) {
       Endpoint endpoint = candidates.get((i + offset) % candidates.size());
@@ -74,31 +78,37 @@
         continue;
       }
       double millis = cost.millis(endpoint, request, now);
-      millis += doubtful.contains(endpoint.dataCentre()) ? settings.doubtMillis() : 0;
-      if (millis < least) {
-        least = millis;
+      millis += suspectCentres.contains(endpoint.dataCentre()) ? settings.remoteFailureMillis() : 0;
+      if (millis < leastMillis) {
+        leastMillis = millis;
         best = endpoint;
       }
     }
-    return best == null ? null : new Route(best.id(), best.address(), best.dataCentre(), least);
+    return best == null
+        ? null
+        : new Route(best.id(), best.address(), best.dataCentre(), leastMillis);
   }
 
-  /** Returns the other data centres where this request has failed. */
-  private Set<DataCentre> doubtful(RouteRequest request) {
+  /**
+   * Returns the remote data centres that are likely to fail this request, because an attempt of the
+   * request has failed there or in another remote one.
+   */
+  private Set<DataCentre> suspectCentres(RouteRequest request) {
     if (request.excluded().isEmpty()) {
       return Set.of();
     }
-    // In a cut all endpoints of the other side fail. A request that tries one after the other has
-    // used up its attempts before the table knows; the second one stays where it can be reached.
-    Set<DataCentre> doubtful = new HashSet<>();
+    // In a network partition all endpoints of the other side fail. A request that tries them one
+    // after the other would use up its attempts before the endpoint table notices. So the second
+    // attempt prefers the local data centre.
+    Set<DataCentre> suspectCentres = new HashSet<>();
     for (EndpointId failed : request.excluded()) {
-      endpoints.find(failed).map(Endpoint::dataCentre).ifPresent(doubtful::add);
+      endpoints.find(failed).map(Endpoint::dataCentre).ifPresent(suspectCentres::add);
     }
-    if (doubtful.stream().anyMatch(place -> !place.equals(request.origin()))) {
-      endpoints.of(request.service()).forEach(each -> doubtful.add(each.dataCentre()));
+    if (suspectCentres.stream().anyMatch(centre -> !centre.equals(request.origin()))) {
+      endpoints.of(request.service()).forEach(each -> suspectCentres.add(each.dataCentre()));
     }
-    doubtful.remove(request.origin());
-    return doubtful;
+    suspectCentres.remove(request.origin());
+    return suspectCentres;
   }
 
   private List<Endpoint> candidates(RouteRequest request, List<Endpoint> all, Instant now) {
@@ -107,15 +117,15 @@
     }
     List<Endpoint> near = endpoints.of(request.service(), request.origin());
     List<Endpoint> chosen = new ArrayList<>();
-    draw(near, settings.samples(), chosen);
-    draw(all, near.isEmpty() ? settings.samples() : 2, chosen);
+    addSamples(near, settings.samples(), chosen);
+    addSamples(all, near.isEmpty() ? settings.samples() : 2, chosen);
     if (settings.terms().contains(RouterTerm.PREFIX)) {
       addHolders(request, near.isEmpty() ? all : near, chosen, now);
     }
     return chosen;
   }
 
-  private void draw(List<Endpoint> from, int count, List<Endpoint> into) {
+  private void addSamples(List<Endpoint> from, int count, List<Endpoint> into) {
     if (from.size() <= count) {
       into.addAll(from);
       return;
@@ -137,7 +147,8 @@
       }
     }
     if (!request.prefixes().isEmpty()) {
-      // Entries that meet a new prefix at the same time agree on where it goes before any event.
+      // Entry instances that receive a new prefix at the same time agree on its endpoint before
+      // any cache event arrives.
       int home = Math.floorMod(request.prefixes().get(0).hashCode(), near.size());
       chosen.add(near.get(home));
     }
@@ -145,6 +156,6 @@
 
   private static Refusal noEndpoint() {
     return Refusal.notRun(RefusalReason.NO_ENDPOINT, "no endpoint of the service takes requests")
-        .retryAfter(COME_BACK_AFTER);
+        .retryAfter(RETRY_AFTER);
   }
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/routing/support/DefaultInFlightTracker.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/routing/support/DefaultInFlightTracker.java
@@ -16,10 +16,10 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** Tracker that keeps a short history for each endpoint and the last counts of each peer. */
+/** Tracker that keeps a short history for each endpoint and the latest counts of each peer. */
 public final class DefaultInFlightTracker implements InFlightTracker {
 
-  private static final Duration WHOLE_DIGEST_EVERY = Duration.ofSeconds(5);
+  private static final Duration WHOLE_DIGEST_INTERVAL = Duration.ofSeconds(5);
 
   private final InstanceId self;
   private final Map<EndpointId, CountHistory> own = new HashMap<>();
@@ -28,7 +28,7 @@
   private final Set<EndpointId> changed = new HashSet<>();
   private Instant lastWhole = Instant.MIN;
 
-  /** Creates a tracker of an instance. */
+  /** Creates the tracker of an instance. */
   public DefaultInFlightTracker(InstanceId self) {
     this.self = self;
   }
@@ -49,13 +49,13 @@
   public void onDigest(InFlightDigest digest, Instant now) {
     Map<EndpointId, Integer> counts =
         peers.computeIfAbsent(digest.sender(), key -> new HashMap<>());
-    Set<EndpointId> left = digest.whole() ? new HashSet<>(counts.keySet()) : new HashSet<>();
+    Set<EndpointId> unlisted = digest.whole() ? new HashSet<>(counts.keySet()) : new HashSet<>();
     for (InFlight count : digest.counts()) {
       setPeer(counts, count.endpoint(), count.count(), now);
-      left.remove(count.endpoint());
+      unlisted.remove(count.endpoint());
     }
-    // A digest that was lost would leave its counts wrong for good; a whole one mends them.
-    left.forEach(endpoint -> setPeer(counts, endpoint, 0, now));
+    // A lost digest would leave its counts wrong forever; a whole digest corrects them.
+    unlisted.forEach(endpoint -> setPeer(counts, endpoint, 0, now));
   }
 
   @Override
@@ -68,7 +68,8 @@
 
   @Override
   public Optional<InFlightDigest> digest(Instant now) {
-    boolean whole = lastWhole == Instant.MIN || !now.isBefore(lastWhole.plus(WHOLE_DIGEST_EVERY));
+    boolean whole =
+        lastWhole == Instant.MIN || !now.isBefore(lastWhole.plus(WHOLE_DIGEST_INTERVAL));
     if (!whole && changed.isEmpty()) {
       return Optional.empty();
     }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/routing/support/EndpointCost.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/routing/support/EndpointCost.java
@@ -10,14 +10,17 @@
 import java.time.Instant;
 import java.util.List;
 
-/** Estimates the time that a request would take at an endpoint, with penalties for risk. */
+/**
+ * Estimates the time that a request would take at an endpoint, including penalties for the risk of
+ * failure.
+ */
 public final class EndpointCost {
 
   private final InFlightTracker inFlight;
   private final PrefixIndex prefixes;
   private final RouterSettings settings;
 
-  /** Creates an estimate from what is known about requests in flight and prefixes. */
+  /** Creates an estimator that uses the known requests in flight and the cached prefixes. */
   public EndpointCost(InFlightTracker inFlight, PrefixIndex prefixes, RouterSettings settings) {
     this.inFlight = inFlight;
     this.prefixes = prefixes;
@@ -46,8 +49,9 @@
     if (report == null) {
       return known;
     }
-    // A report alone is seconds old: all entries would send to the endpoint that was idle then.
-    // The change since the report brings it up to date; what is known to run is the least.
+    // A load report is seconds old: if it alone counted, all entry instances would send requests
+    // to the endpoint that was idle then. The change since the report brings it up to date; the
+    // number of requests known to run is the lower bound.
     int corrected = report.online() + inFlight.changeSince(endpoint.id(), report.asOf());
     return Math.max(known, corrected);
   }
@@ -55,26 +59,26 @@
   private double loadMillis(Endpoint endpoint, Instant now) {
     int slots = endpoint.load().map(LoadReport::slots).orElse(settings.defaultSlots());
     double weight = uses(RouterTerm.SLOW_START) ? endpoint.startWeight(now) : 1;
-    double places = Math.max(1, slots * weight);
+    double effectiveSlots = Math.max(1, slots * weight);
     double requests = online(endpoint) + 1;
-    double crowding = requests / places * settings.crowdingShare();
-    double waiting = Math.max(0, requests - places) / places;
+    double crowding = requests / effectiveSlots * settings.crowdingShare();
+    double waiting = Math.max(0, requests - effectiveSlots) / effectiveSlots;
     return (crowding + waiting) * settings.serviceMillis();
   }
 
   private double prefillMillis(Endpoint endpoint, RouteRequest request, Instant now) {
-    double full = request.promptTokens() * settings.prefillMillisPerToken();
-    List<String> known = request.prefixes();
-    if (!uses(RouterTerm.PREFIX) || known.isEmpty()) {
-      return full;
+    double uncached = request.promptTokens() * settings.prefillMillisPerToken();
+    List<String> prefixHashes = request.prefixes();
+    if (!uses(RouterTerm.PREFIX) || prefixHashes.isEmpty()) {
+      return uncached;
     }
-    for (int i = known.size() - 1; i >= 0; i--) {
-      double confidence = prefixes.confidence(endpoint.id(), known.get(i), now);
+    for (int i = prefixHashes.size() - 1; i >= 0; i--) {
+      double confidence = prefixes.confidence(endpoint.id(), prefixHashes.get(i), now);
       if (confidence > 0) {
-        return full * (1 - confidence * (i + 1) / (known.size() + 1));
+        return uncached * (1 - confidence * (i + 1) / (prefixHashes.size() + 1));
       }
     }
-    return full;
+    return uncached;
   }
 
   private boolean uses(RouterTerm term) {
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/routing/support/HintPrefixIndex.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/routing/support/HintPrefixIndex.java
@@ -10,19 +10,19 @@
 import java.util.List;
 import java.util.Map;
 
-/** Index of a bounded number of prefixes whose hints fade with age. */
+/** Index of a bounded number of prefixes, whose hints lose confidence with age. */
 public final class HintPrefixIndex implements PrefixIndex {
 
-  private static final int HOLDERS = 4;
+  private static final int MAX_HOLDERS = 4;
   private static final double HALF_LIFE_MILLIS = 60_000;
-  private static final double AFTER_GAP = 0.5;
+  private static final double GAP_FACTOR = 0.5;
 
   private final int capacity;
   private final Map<String, LinkedHashMap<EndpointId, Long>> prefixes =
       new LinkedHashMap<>(16, 0.75f, true);
   private final Map<EndpointId, Long> lastSequence = new HashMap<>();
   private final Map<EndpointId, Long> lastGap = new HashMap<>();
-  private final Map<EndpointId, Long> lostAt = new HashMap<>();
+  private final Map<EndpointId, Long> invalidatedAt = new HashMap<>();
 
   /** Creates an index of at most {@code capacity} prefixes. */
   public HintPrefixIndex(int capacity) {
@@ -52,7 +52,7 @@
 
   @Override
   public void onLost(EndpointId endpoint, Instant now) {
-    lostAt.put(endpoint, now.toEpochMilli());
+    invalidatedAt.put(endpoint, now.toEpochMilli());
     lastSequence.remove(endpoint);
     lastGap.remove(endpoint);
   }
@@ -66,12 +66,14 @@
   @Override
   public double confidence(EndpointId endpoint, String prefix, Instant now) {
     LinkedHashMap<EndpointId, Long> holders = prefixes.get(prefix);
-    Long seen = holders == null ? null : holders.get(endpoint);
-    if (seen == null || seen <= lostAt.getOrDefault(endpoint, Long.MIN_VALUE)) {
+    Long hintedAt = holders == null ? null : holders.get(endpoint);
+    if (hintedAt == null || hintedAt <= invalidatedAt.getOrDefault(endpoint, Long.MIN_VALUE)) {
       return 0;
     }
-    double fresh = Math.pow(0.5, (now.toEpochMilli() - seen) / HALF_LIFE_MILLIS);
-    return seen < lastGap.getOrDefault(endpoint, Long.MIN_VALUE) ? fresh * AFTER_GAP : fresh;
+    double confidence = Math.pow(0.5, (now.toEpochMilli() - hintedAt) / HALF_LIFE_MILLIS);
+    return hintedAt < lastGap.getOrDefault(endpoint, Long.MIN_VALUE)
+        ? confidence * GAP_FACTOR
+        : confidence;
   }
 
   private void put(String prefix, EndpointId endpoint, Instant now) {
@@ -79,7 +81,7 @@
         prefixes.computeIfAbsent(prefix, key -> new LinkedHashMap<>());
     holders.remove(endpoint);
     holders.put(endpoint, now.toEpochMilli());
-    if (holders.size() > HOLDERS) {
+    if (holders.size() > MAX_HOLDERS) {
       removeEldest(holders);
     }
     if (prefixes.size() > capacity) {
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/routing/support/RoundRobinRouter.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/routing/support/RoundRobinRouter.java
@@ -12,16 +12,16 @@
 import java.util.List;
 
 /**
- * Naive router that takes the endpoints of a service in turn.
+ * Simple router that uses the endpoints of a service in turn.
  *
- * <p>The reference of differential tests and the baseline of measurements.
+ * <p>It is the reference implementation in differential tests and the baseline of measurements.
  */
 public final class RoundRobinRouter implements Router {
 
   private final EndpointTable endpoints;
   private int next;
 
-  /** Creates a router over a table. */
+  /** Creates a router for the endpoints of a table. */
   public RoundRobinRouter(EndpointTable endpoints) {
     this.endpoints = endpoints;
   }
@@ -29,7 +29,7 @@
   @Override
   public Either<Refusal, Route> choose(RouteRequest request, Instant now) {
     List<Endpoint> candidates = endpoints.of(request.service());
-    for (int tried = 0; tried < candidates.size(); tried++) {
+    for (int attempts = 0; attempts < candidates.size(); attempts++) {
       Endpoint endpoint = candidates.get(Math.floorMod(next++, candidates.size()));
       if (endpoint.accepts(now) && !request.excluded().contains(endpoint.id())) {
         return Either.right(new Route(endpoint.id(), endpoint.address(), endpoint.dataCentre(), 0));
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/routing/support/package-info.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/routing/support/package-info.java
@@ -1,4 +1,4 @@
-/** Routers, and what they know about requests in flight and cached prefixes. */
+/** Routers, and trackers of requests in flight and of cached prefixes. */
 @NullMarked
 package io.hawthornlb.core.routing.support;
 
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/routing/CostRouterTest.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/routing/CostRouterTest.java
@@ -21,17 +21,19 @@
 
   private static final RouterSettings ALL = RouterSettings.builder().build();
 
-  // The engine that was idle a second ago gets all requests of a burst: each of 13 entries sees
-  // the same old report and none counts what the others have sent since.
+  // Guards against sending all requests of a burst to the engine that was idle a second ago: each
+  // of 13 entry instances uses the same old load report, and none counts the requests that the
+  // others have sent since.
   @Test
-  void reportsAreBroughtUpToDateByRequestsSinceThen() {
+  void requestsSinceALoadReportCorrectIt() {
     RouterSettings without = RouterSettings.builder().without(RouterTerm.IN_FLIGHT).build();
-    assertTrue(mostAtOneEngine(without) >= 100, "without the correction");
-    assertTrue(mostAtOneEngine(ALL) <= 30, () -> "most at one " + mostAtOneEngine(ALL));
+    assertTrue(mostAtOneEngine(without) >= 100, "without the correction by requests in flight");
+    assertTrue(
+        mostAtOneEngine(ALL) <= 30, () -> "most requests at one engine: " + mostAtOneEngine(ALL));
   }
 
   @Test
-  void aRequestGoesWhereItsPrefixIsCachedUnlessThatIsFull() {
+  void aRequestGoesToTheEndpointThatCachesItsPrefixUnlessItIsFull() {
     RouterFixture fixture = new RouterFixture(5, ALL);
     for (int i = 0; i < 5; i++) {
       fixture.table.onLoad(id(i), RouterFixture.report(4, 1), NOW);
@@ -44,10 +46,11 @@
     assertTrue(!choose(fixture, 1, List.of("p")).equals(id(3)));
   }
 
-  // Answers begin late although the cache was warm: the events that told of evictions were lost,
-  // and requests follow a prefix that is long gone.
+  // Guards against routing requests by a prefix that was evicted long ago, because the events that
+  // reported the evictions were lost; answers would then begin late although the cache seemed
+  // warm.
   @Test
-  void aHintCountsLessAfterAGapAndNothingAfterARestart() {
+  void aHintCountsLessAfterAGapAndIsVoidAfterARestart() {
     PrefixIndex index = new RouterFixture(5, ALL).prefixes;
     index.onEvents(id(0), List.of(event(1, PrefixEvent.Kind.STORED)), NOW);
     double before = index.confidence(id(0), "p", NOW.plusSeconds(1));
@@ -74,7 +77,7 @@
   }
 
   @Test
-  void theOwnDataCentreIsPreferredUntilItIsCrowded() {
+  void theLocalDataCentreIsPreferredIfItHasFreeSlots() {
     RouterFixture fixture = new RouterFixture(600, ALL);
     for (int i = 0; i < 600; i++) {
       fixture.table.onLoad(id(i), RouterFixture.report(0, 1), NOW);
@@ -93,10 +96,11 @@
     assertEquals(200, near);
   }
 
-  // Requests go on to an endpoint that has ended all of its own: a digest was lost, and the count
-  // of a peer stays wrong for good.
+  // Guards against counts of a peer that stay wrong forever because a digest was lost: the
+  // receiver would still count requests at an endpoint after the peer has ended all of its own
+  // there.
   @Test
-  void aWholeDigestMendsALostOne() {
+  void aWholeDigestCorrectsALostOne() {
     InFlightTracker sender = new RouterFixture(1, 5, ALL).inFlight;
     InFlightTracker receiver = new RouterFixture(2, 5, ALL).inFlight;
     sender.onStarted(id(0), NOW);
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/routing/RouterBenchmark.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/routing/RouterBenchmark.java
@@ -20,7 +20,7 @@
 import org.openjdk.jmh.runner.RunnerException;
 import org.openjdk.jmh.runner.options.OptionsBuilder;
 
-/** Time of one routing decision; run the main method. */
+/** Measures the time of one routing decision; run the main method. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/routing/RouterFixture.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/routing/RouterFixture.java
@@ -25,7 +25,7 @@
 import java.util.Random;
 import java.util.Set;
 
-/** A router of one entry with all that it knows, before a number of engines. */
+/** A router of one entry instance with its tables and a number of engines. */
 final class RouterFixture {
 
   static final Instant NOW = Instant.EPOCH.plusSeconds(100);
