--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/batch/BatchItem.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/batch/BatchItem.java
@@ -6,16 +6,16 @@
 import java.util.Optional;
 
 /**
- * A batch item that may be executed.
+ * A batch item that is ready for execution.
  *
- * @param ref the item
- * @param acceptedAt when its job was accepted
- * @param due when its job is due
- * @param promptTokens estimated length of its prompt
- * @param outputTokens estimated length of its answer
- * @param generated tokens that an earlier, preempted execution has generated
- * @param keptAt the endpoint that may hold the KV cache of that execution
- * @param remaining items of its job that have no outcome, this one included
+ * @param ref reference to the item
+ * @param acceptedAt time at which the job of the item was accepted
+ * @param due time by which the job is due
+ * @param promptTokens estimated length of the prompt
+ * @param outputTokens estimated length of the answer
+ * @param generated number of tokens that an earlier, preempted execution has generated
+ * @param keptAt endpoint that may still hold the KV cache of that execution
+ * @param remaining number of items of the job that have no outcome yet, including this one
  */
 public record BatchItem(
     ItemRef ref,
@@ -27,20 +27,26 @@
     Optional<EndpointId> keptAt,
     int remaining) {
 
-  /** Checks the lengths. */
+  /** Checks that the lengths are not negative. */
   public BatchItem {
     Checks.notNegative(promptTokens, "prompt tokens");
     Checks.notNegative(outputTokens, "output tokens");
     Checks.notNegative(generated, "generated");
   }
 
-  /** Returns this item with what a preempted execution has kept at an endpoint. */
+  /**
+   * Returns this item after a preemption, with the generated tokens and the endpoint that may hold
+   * its KV cache.
+   */
   public BatchItem preempted(int tokens, EndpointId endpoint) {
     return new BatchItem(
         ref, acceptedAt, due, promptTokens, outputTokens, tokens, Optional.of(endpoint), remaining);
   }
 
-  /** Returns the tokens that must be in the KV cache before the next one is generated. */
+  /**
+   * Returns the number of tokens that must be in the KV cache before the next token can be
+   * generated.
+   */
   public int contextTokens() {
     return promptTokens + generated;
   }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/batch/BatchOutcome.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/batch/BatchOutcome.java
@@ -1,13 +1,13 @@
 package io.hawthornlb.core.batch;
 
-/** How one execution of an item ended. */
+/** Outcome of one execution of an item. */
 public enum BatchOutcome {
-  /** It has its answer, or a failure that is its answer. */
+  /** The item has its answer, or a failure that counts as its answer. */
   DONE,
-  /** It was cancelled to free room and may be resumed. */
+  /** The execution was cancelled to free a slot, and the item may be resumed. */
   PREEMPTED,
-  /** Its job was cancelled. */
+  /** The job of the item was cancelled. */
   CANCELLED,
-  /** The endpoint failed; its coordinator decides what follows. */
+  /** The endpoint failed; the coordinator of the item decides what happens next. */
   ENDPOINT_FAILED
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/batch/CancelItem.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/batch/CancelItem.java
@@ -4,9 +4,9 @@
 import io.hawthornlb.core.model.EndpointId;
 
 /**
- * Asks for a running item to be cancelled at once; the endpoint keeps what was generated.
+ * Effect that cancels a running item at once; the tokens generated so far are kept.
  *
- * @param endpoint the endpoint
- * @param item the item
+ * @param endpoint endpoint that runs the item
+ * @param item item to cancel
  */
 public record CancelItem(EndpointId endpoint, ItemRef item) implements Effect {}
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/batch/ItemOrder.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/batch/ItemOrder.java
@@ -7,9 +7,9 @@
 /**
  * Orders batch items by due time and age.
  *
- * <p>The key of an item is its due time, moved forward by the age of its job. It does not change
- * with time, so that queues stay sorted, and a job that is accepted later with a nearer due time
- * passes an older one only by a bounded time.
+ * <p>The key of an item is its due time plus a weighted acceptance time of its job, so that items
+ * of older jobs move forward. The key does not change with time, so queues stay sorted, and a job
+ * that is accepted later with an earlier due time overtakes an older job only by a bounded time.
  */
 public final class ItemOrder {
 
@@ -23,15 +23,15 @@
 
   private ItemOrder() {}
 
-  /** Returns the key of an item; smaller ones go first. */
+  /** Returns the key of an item; items with smaller keys go first. */
   public static double key(BatchItem item) {
     return item.due().toEpochMilli() + AGE_WEIGHT * item.acceptedAt().toEpochMilli();
   }
 
   /**
-   * Returns whether an item must start now for its job to be done in time.
+   * Returns whether an item must start now for its job to finish in time.
    *
-   * @param perItem the time that each remaining item of the job takes at the present pace
+   * @param perItem time that each remaining item of the job takes at the current rate
    */
   public static boolean urgent(BatchItem item, Duration perItem, Instant now) {
     Duration left = Duration.between(now, item.due());
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/batch/ItemRef.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/batch/ItemRef.java
@@ -4,10 +4,10 @@
 import io.hawthornlb.core.util.Checks;
 
 /**
- * Names one item of a batch job.
+ * Identifies one item of a batch job.
  *
- * @param job the job
- * @param index its place in the job, from 0
+ * @param job id of the job
+ * @param index position of the item in the job, from 0
  */
 public record ItemRef(JobId job, int index) {
 
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/batch/OnlineNotice.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/batch/OnlineNotice.java
@@ -5,11 +5,12 @@
 import io.hawthornlb.core.peer.PeerMessage;
 
 /**
- * Tells the steward of an endpoint that an entry sends it an online request, or that one ended.
+ * Informs the dispatcher of an endpoint that an entry instance sends the endpoint an online
+ * request, or that such a request has ended.
  *
- * @param sender the entry
- * @param endpoint the endpoint
- * @param inFlight online requests of the sender now in flight at the endpoint
+ * @param sender the entry instance that sends the message
+ * @param endpoint id of the endpoint
+ * @param inFlight number of online requests that the sender now has in flight at the endpoint
  */
 public record OnlineNotice(InstanceId sender, EndpointId endpoint, int inFlight)
     implements PeerMessage {}
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/batch/PullItems.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/batch/PullItems.java
@@ -5,10 +5,10 @@
 import io.hawthornlb.core.model.ServiceName;
 
 /**
- * Asks coordinators for items to execute.
+ * Effect that requests items to execute from the job coordinators.
  *
- * @param endpoint the endpoint that will execute them
- * @param service the service
- * @param count how many, at most
+ * @param endpoint endpoint that will execute the items
+ * @param service service of the endpoint
+ * @param count maximum number of items
  */
 public record PullItems(EndpointId endpoint, ServiceName service, int count) implements Effect {}
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/batch/ReturnItems.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/batch/ReturnItems.java
@@ -5,14 +5,14 @@
 import java.util.List;
 
 /**
- * Gives items that were not started, or that were preempted, back to their coordinators.
+ * Effect that returns items, which were not started or were preempted, to their coordinators.
  *
- * @param endpoint the endpoint, which may still hold KV cache of preempted ones
- * @param items the items with what they have generated
+ * @param endpoint endpoint that may still hold the KV cache of the preempted items
+ * @param items the items, with the number of tokens that each has generated
  */
 public record ReturnItems(EndpointId endpoint, List<BatchItem> items) implements Effect {
 
-  /** Copies the items. */
+  /** Copies the list of items. */
   public ReturnItems {
     items = List.copyOf(items);
   }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/batch/StartItem.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/batch/StartItem.java
@@ -5,11 +5,13 @@
 import java.util.Optional;
 
 /**
- * Asks for an item to be sent to an endpoint, resumed after what it has generated.
+ * Effect that sends an item to an endpoint, where the item resumes after the tokens generated so
+ * far.
  *
- * @param endpoint the endpoint
- * @param item the item
- * @param moveFrom the endpoint whose KV cache of the item is to be moved first, if that pays
+ * @param endpoint endpoint that executes the item
+ * @param item item to execute
+ * @param moveFrom endpoint from which the item's KV cache is moved first; empty if moving it costs
+ *     more than computing it again
  */
 public record StartItem(EndpointId endpoint, BatchItem item, Optional<EndpointId> moveFrom)
     implements Effect {}
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/batch/Steward.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/batch/Steward.java
@@ -7,34 +7,40 @@
 import java.util.List;
 
 /**
- * Executes batch items at one endpoint; confined to one thread.
+ * Dispatches batch items to one endpoint. Implementations are confined to one thread.
  *
- * <p>Each item taken ends in exactly one of: a started execution whose outcome came, or {@link
- * ReturnItems}.
+ * <p>Each item that the dispatcher receives ends in exactly one of two ways: the dispatcher starts
+ * it and receives an outcome, or the dispatcher returns it by {@link ReturnItems}.
  */
 public interface Steward {
 
-  /** Takes items that were pulled; an empty list says that there are none now. */
+  /** Handles items that were pulled; an empty list means that no items are available now. */
   List<Effect> onItems(List<BatchItem> items, Instant now);
 
-  /** Takes the number of online requests that an entry has in flight at the endpoint. */
+  /** Handles the number of online requests that an entry instance has in flight at the endpoint. */
   List<Effect> onOnline(InstanceId entry, int inFlight, Instant now);
 
-  /** Takes how many tokens a running item has generated; the first call ends its prefill. */
+  /**
+   * Handles the number of tokens that a running item has generated; the first call for an item ends
+   * its prefill.
+   */
   List<Effect> onProgress(ItemRef item, int generated, Instant now);
 
-  /** Takes the end of an execution. */
+  /** Handles the end of an execution. */
   List<Effect> onEnded(ItemRef item, BatchOutcome outcome, int generated, Instant now);
 
-  /** Takes a load report of the endpoint. */
+  /** Handles a load report of the endpoint. */
   List<Effect> onLoad(LoadReport report, Instant now);
 
-  /** Does what the passing of time calls for; called several times a second. */
+  /** Starts, returns or pulls items as time passes. Call this method several times a second. */
   List<Effect> onTick(Instant now);
 
-  /** Gives everything back: running items are cancelled, waiting ones are returned. */
+  /** Stops the dispatcher: cancels the running items and returns the waiting ones. */
   List<Effect> onStop(Instant now);
 
-  /** Returns how many batch items the endpoint executed at a time, to complete a load report. */
+  /**
+   * Returns the number of batch items that the endpoint executed at a time, so that a load report
+   * can be completed.
+   */
   int batchAt(Instant time);
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/batch/StewardElection.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/batch/StewardElection.java
@@ -5,9 +5,15 @@
 import java.util.Collection;
 import java.util.Optional;
 
-/** Names the one entry that sends batch items to an endpoint; a hint, no safety rests on it. */
+/**
+ * Chooses the single entry instance that dispatches batch items to an endpoint. The result is only
+ * a hint; correctness does not depend on it.
+ */
 public interface StewardElection {
 
-  /** Returns the steward among the reachable entries of the endpoint's data centre. */
+  /**
+   * Returns the dispatcher of an endpoint, chosen from the reachable entry instances of the
+   * endpoint's data centre.
+   */
   Optional<InstanceId> steward(EndpointId endpoint, Collection<InstanceId> entries);
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/batch/package-info.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/batch/package-info.java
@@ -1,4 +1,7 @@
-/** Places batch items in room that online requests leave, and takes the room back on a burst. */
+/**
+ * Runs batch items in the slots that online requests leave free, and frees these slots when a burst
+ * of online requests arrives.
+ */
 @NullMarked
 package io.hawthornlb.core.batch;
 
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/batch/support/EagerSteward.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/batch/support/EagerSteward.java
@@ -22,9 +22,10 @@
 import java.util.Set;
 
 /**
- * Naive steward that keeps every slot of its endpoint filled in order of arrival, never preempts.
+ * Simple dispatcher that keeps every slot of its endpoint filled, in order of arrival, and never
+ * preempts an item.
  *
- * <p>The reference of differential tests and the baseline of measurements.
+ * <p>It is the reference implementation in differential tests and the baseline of measurements.
  */
 public final class EagerSteward implements Steward {
 
@@ -34,7 +35,7 @@
   private final Deque<BatchItem> queue = new ArrayDeque<>();
   private final Set<ItemRef> running = new HashSet<>();
 
-  /** Creates a steward of an endpoint with a number of slots. */
+  /** Creates the dispatcher of an endpoint with the given number of slots. */
   public EagerSteward(EndpointId endpoint, ServiceName service, int slots) {
     this.endpoint = endpoint;
     this.service = service;
@@ -75,9 +76,9 @@
 
   @Override
   public List<Effect> onStop(Instant now) {
-    List<BatchItem> left = List.copyOf(queue);
+    List<BatchItem> waiting = List.copyOf(queue);
     queue.clear();
-    return List.of(new ReturnItems(endpoint, left));
+    return List.of(new ReturnItems(endpoint, waiting));
   }
 
   private List<Effect> fill() {
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/batch/support/HeadroomSteward.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/batch/support/HeadroomSteward.java
@@ -22,14 +22,14 @@
 import java.util.Optional;
 
 /**
- * Steward that fills what online requests leave, and cancels batch items in the same event that
- * brings an online request.
+ * Dispatcher that fills the slots that online requests leave free, and cancels batch items while it
+ * handles the same event that announces an online request.
  */
 public final class HeadroomSteward implements Steward {
 
   private static final Duration PULL_TIMEOUT = Duration.ofSeconds(1);
-  private static final Duration PULL_PAUSE = Duration.ofMillis(200);
-  private static final double FULL_CACHE = 0.95;
+  private static final Duration EMPTY_PULL_DELAY = Duration.ofMillis(200);
+  private static final double FULL_CACHE_FRACTION = 0.95;
   private static final double SMOOTHING = 0.1;
   private static final double FIRST_ITEM_MILLIS = 1_000;
 
@@ -48,7 +48,7 @@
   private Instant lastDone = Instant.MIN;
   private double millisPerDone = FIRST_ITEM_MILLIS;
 
-  /** Creates a steward of an endpoint. */
+  /** Creates the dispatcher of an endpoint. */
   public HeadroomSteward(EndpointId endpoint, ServiceName service, StewardSettings settings) {
     this.endpoint = endpoint;
     this.service = service;
@@ -62,15 +62,15 @@
       return items.isEmpty() ? List.of() : List.of(new ReturnItems(endpoint, items));
     }
     items.forEach(item -> queue.add(item, now));
-    nextPull = items.isEmpty() ? now.plus(PULL_PAUSE) : now;
+    nextPull = items.isEmpty() ? now.plus(EMPTY_PULL_DELAY) : now;
     return adjust(now);
   }
 
   @Override
   public List<Effect> onOnline(InstanceId entry, int inFlight, Instant now) {
-    int before = online.told();
+    int before = online.reported();
     online.set(entry, inFlight);
-    onlineHistory.add(online.told() - before, now);
+    onlineHistory.add(online.reported() - before, now);
     return adjust(now);
   }
 
@@ -106,21 +106,23 @@
   public List<Effect> onLoad(LoadReport report, Instant now) {
     slots = report.slots();
     cacheFull =
-        report.kvTotalTokens() > 0 && report.kvUsedTokens() > FULL_CACHE * report.kvTotalTokens();
-    // An entry whose notices are lost, or that does not know of this steward, still takes slots;
-    // the report shows its requests. Without this, batch items would fill the slots again.
+        report.kvTotalTokens() > 0
+            && report.kvUsedTokens() > FULL_CACHE_FRACTION * report.kvTotalTokens();
+    // The notices of an entry instance can be lost, and an entry instance may not know this
+    // dispatcher; its requests still take slots, and the load report includes them. Without this
+    // correction, batch items would fill these slots again.
     int batch = batchHistory.at(report.asOf());
-    int unexplained = report.withBatch(batch).online() - onlineHistory.at(report.asOf());
-    online.untold(unexplained);
+    int unreported = report.withBatch(batch).online() - onlineHistory.at(report.asOf());
+    online.setUnreported(unreported);
     return adjust(now);
   }
 
   @Override
   public List<Effect> onTick(Instant now) {
     List<Effect> effects = new ArrayList<>();
-    List<BatchItem> waited = queue.takePreemptedBefore(now.minus(settings.returnAfter()));
-    if (!waited.isEmpty()) {
-      effects.add(new ReturnItems(endpoint, waited));
+    List<BatchItem> overdue = queue.removePreemptedBefore(now.minus(settings.returnAfter()));
+    if (!overdue.isEmpty()) {
+      effects.add(new ReturnItems(endpoint, overdue));
     }
     effects.addAll(adjust(now));
     return effects;
@@ -131,9 +133,9 @@
     stopped = true;
     List<Effect> effects = new ArrayList<>();
     cancel(running.active(), effects);
-    List<BatchItem> left = queue.takeAll();
-    if (!left.isEmpty()) {
-      effects.add(new ReturnItems(endpoint, left));
+    List<BatchItem> waiting = queue.removeAll();
+    if (!waiting.isEmpty()) {
+      effects.add(new ReturnItems(endpoint, waiting));
     }
     return effects;
   }
@@ -148,20 +150,22 @@
     if (stopped) {
       return effects;
     }
-    int room = room();
-    // An online request that finds all slots taken waits inside the endpoint for a batch item to
-    // end, which takes seconds. Cancelling in this event frees the slot in milliseconds.
-    cancel(running.active() - room, effects);
-    start(room, effects, now);
+    int freeSlots = slotsForItems();
+    // An online request that finds no free slot waits inside the endpoint until a batch item ends,
+    // which takes seconds. Cancelling an item while handling this event frees a slot within
+    // milliseconds.
+    cancel(running.active() - freeSlots, effects);
+    start(freeSlots, effects, now);
     pull(effects, now);
     return effects;
   }
 
-  private int room() {
+  private int slotsForItems() {
     if (online.total() == 0) {
       return slots;
     }
-    // Each item makes the steps of the engine longer, for the online requests in it as well.
+    // Each batch item lengthens the steps of the engine, also for the online requests in the same
+    // steps.
     int filled = (int) Math.round(slots * settings.fillBesideOnline());
     return Math.max(0, filled - online.total());
   }
@@ -172,11 +176,12 @@
     }
   }
 
-  private void start(int room, List<Effect> effects, Instant now) {
-    // Many prompts started at once would stall the tokens of online requests at the endpoint.
+  private void start(int freeSlots, List<Effect> effects, Instant now) {
+    // Starting many prompts at once would delay the next tokens of the online requests at the
+    // endpoint.
     int prefills = online.total() > 0 ? settings.prefillsBesideOnline() : slots;
     Duration perItem = Duration.ofMillis((long) millisPerDone);
-    while (!cacheFull && running.size() < room && running.prefilling() < prefills) {
+    while (!cacheFull && running.size() < freeSlots && running.prefilling() < prefills) {
       BatchItem item = queue.poll(perItem, now);
       if (item == null) {
         return;
@@ -189,13 +194,13 @@
 
   private Optional<EndpointId> moveFrom(BatchItem item) {
     return item.keptAt()
-        .filter(kept -> !kept.equals(endpoint) && settings.movePays(item.contextTokens()));
+        .filter(kept -> !kept.equals(endpoint) && settings.movingIsCheaper(item.contextTokens()));
   }
 
   private void pull(List<Effect> effects, Instant now) {
     int wanted = (int) Math.ceil(slots * settings.ahead()) - queue.size();
-    boolean worthIt = wanted * 2 >= slots * settings.ahead();
-    if (worthIt && !now.isBefore(nextPull)) {
+    boolean enoughWanted = wanted * 2 >= slots * settings.ahead();
+    if (enoughWanted && !now.isBefore(nextPull)) {
       nextPull = now.plus(PULL_TIMEOUT);
       effects.add(new PullItems(endpoint, service, wanted));
     }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/batch/support/ItemQueue.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/batch/support/ItemQueue.java
@@ -14,29 +14,30 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Items that wait at a steward: urgent ones first, else the jobs share in turn.
+ * Items that wait at a dispatcher. Urgent items go first; otherwise the jobs take turns.
  *
- * <p>Preempted items go before others of their job, because their work is partly done.
+ * <p>Preempted items go before the other items of their job, because part of their work is done.
  */
 final class ItemQueue {
 
   private final Map<JobId, TreeSet<BatchItem>> jobs = new TreeMap<>();
   private final Map<JobId, Long> turns = new HashMap<>();
-  private final Map<BatchItem, Instant> since = new HashMap<>();
+  private final Map<BatchItem, Instant> waitingSince = new HashMap<>();
   private long turn;
 
   void add(BatchItem item, Instant now) {
     jobs.computeIfAbsent(item.ref().job(), key -> new TreeSet<>(ItemOrder.COMPARATOR)).add(item);
-    since.put(item, now);
-    // A new job takes its turn with the others; it neither waits for all nor passes all.
+    waitingSince.put(item, now);
+    // A new job joins the current round of turns: it neither waits for all other jobs nor goes
+    // before them.
     turns.putIfAbsent(item.ref().job(), turn);
   }
 
   int size() {
-    return since.size();
+    return waitingSince.size();
   }
 
-  /** Removes and returns the next item, or null. */
+  /** Removes and returns the next item; returns null if the queue is empty. */
   @Nullable BatchItem poll(Duration perItem, Instant now) {
     BatchItem next = null;
     for (TreeSet<BatchItem> items : jobs.values()) {
@@ -53,24 +54,24 @@
   }
 
   /** Removes and returns the preempted items that have waited since before a time. */
-  List<BatchItem> takePreemptedBefore(Instant time) {
-    List<BatchItem> taken = new ArrayList<>();
-    since.forEach(
+  List<BatchItem> removePreemptedBefore(Instant time) {
+    List<BatchItem> removed = new ArrayList<>();
+    waitingSince.forEach(
         (item, at) -> {
           if (item.generated() > 0 && at.isBefore(time)) {
-            taken.add(item);
+            removed.add(item);
           }
         });
-    taken.forEach(this::remove);
-    return taken;
+    removed.forEach(this::remove);
+    return removed;
   }
 
   /** Removes and returns all items. */
-  List<BatchItem> takeAll() {
-    List<BatchItem> all = new ArrayList<>(since.keySet());
+  List<BatchItem> removeAll() {
+    List<BatchItem> all = new ArrayList<>(waitingSince.keySet());
     all.sort(ItemOrder.COMPARATOR);
     jobs.clear();
-    since.clear();
+    waitingSince.clear();
     return all;
   }
 
@@ -104,6 +105,6 @@
         turns.remove(item.ref().job());
       }
     }
-    since.remove(item);
+    waitingSince.remove(item);
   }
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/batch/support/OnlineCount.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/batch/support/OnlineCount.java
@@ -4,29 +4,32 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Online requests at an endpoint, by the entry that sent them, and those nobody has told of. */
+/**
+ * Counts the online requests at an endpoint: those that each entry instance has reported, and those
+ * that only a load report shows.
+ */
 final class OnlineCount {
 
   private final Map<InstanceId, Integer> entries = new HashMap<>();
-  private int told;
-  private int untold;
+  private int reported;
+  private int unreported;
 
-  /** Sets the count of an entry. */
+  /** Sets the count of an entry instance. */
   void set(InstanceId entry, int count) {
     Integer before = count == 0 ? entries.remove(entry) : entries.put(entry, count);
-    told += count - (before == null ? 0 : before);
+    reported += count - (before == null ? 0 : before);
   }
 
-  /** Sets how many requests a load report shows beyond those told. */
-  void untold(int count) {
-    untold = Math.max(0, count);
+  /** Sets the number of requests that a load report shows in addition to the reported ones. */
+  void setUnreported(int count) {
+    unreported = Math.max(0, count);
   }
 
-  int told() {
-    return told;
+  int reported() {
+    return reported;
   }
 
   int total() {
-    return told + untold;
+    return reported + unreported;
   }
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/batch/support/RendezvousElection.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/batch/support/RendezvousElection.java
@@ -8,7 +8,10 @@
 import java.util.Comparator;
 import java.util.Optional;
 
-/** Election by rendezvous hash: an entry that leaves or joins moves only its own endpoints. */
+/**
+ * Election by rendezvous hashing: an entry instance that leaves or joins changes the dispatcher
+ * only of its own endpoints.
+ */
 public final class RendezvousElection implements StewardElection {
 
   @Override
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/batch/support/RunningItems.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/batch/support/RunningItems.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import org.jspecify.annotations.Nullable;
 
-/** Items that execute at an endpoint, with their progress. */
+/** The items that run at an endpoint, with their progress. */
 final class RunningItems {
 
   private static final class Running {
@@ -23,8 +23,11 @@
       this.generated = item.generated();
     }
 
-    /** Returns the tokens that must be computed again if it is cancelled and its cache is lost. */
-    private int lost() {
+    /**
+     * Returns the number of tokens that must be computed again if the item is cancelled and its KV
+     * cache is lost.
+     */
+    private int lostTokens() {
       return decoding ? item.promptTokens() + generated : 0;
     }
   }
@@ -44,7 +47,9 @@
     }
   }
 
-  /** Removes an item and returns it as it was started, or null. */
+  /**
+   * Removes an item and returns it as it was when started; returns null if the item does not run.
+   */
   @Nullable BatchItem remove(ItemRef ref) {
     Running running = items.remove(ref);
     if (running == null) {
@@ -54,12 +59,12 @@
     return running.item;
   }
 
-  /** Marks the item whose cancellation loses least and returns it. */
+  /** Marks the item whose cancellation loses the fewest tokens as cancelled, and returns it. */
   Optional<ItemRef> cancelCheapest() {
     Optional<Running> cheapest =
         items.values().stream()
             .filter(running -> !running.cancelled)
-            .min(Comparator.comparingInt(Running::lost));
+            .min(Comparator.comparingInt(Running::lostTokens));
     cheapest.ifPresent(
         running -> {
           running.cancelled = true;
@@ -68,17 +73,17 @@
     return cheapest.map(running -> running.item.ref());
   }
 
-  /** Returns the items at the endpoint, cancelled ones included. */
+  /** Returns the number of items at the endpoint, including cancelled ones. */
   int size() {
     return items.size();
   }
 
-  /** Returns the items that have not been cancelled. */
+  /** Returns the number of items that have not been cancelled. */
   int active() {
     return items.size() - cancelled;
   }
 
-  /** Returns the items of which no token has come yet. */
+  /** Returns the number of items that have not produced a token yet. */
   int prefilling() {
     int count = 0;
     for (Running running : items.values()) {
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/batch/support/package-info.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/batch/support/package-info.java
@@ -1,4 +1,4 @@
-/** Stewards and their queue of items. */
+/** Dispatchers of batch items, their queues, and the election of dispatchers. */
 @NullMarked
 package io.hawthornlb.core.batch.support;
 
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/batch/StewardFailureTest.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/batch/BatchDispatcherFailureTest.java
@@ -24,7 +24,7 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-class StewardFailureTest {
+class BatchDispatcherFailureTest {
 
   private static final EndpointId ENGINE = new EndpointId("log-reader-0");
   private static final ServiceName SERVICE = new ServiceName("log-reader");
@@ -32,64 +32,64 @@
   private static final Instant NOW = Instant.EPOCH;
   private static final int SLOTS = 4;
 
-  private final Steward naive = new EagerSteward(ENGINE, SERVICE, SLOTS);
-  private final Steward guarded =
+  private final Steward eager = new EagerSteward(ENGINE, SERVICE, SLOTS);
+  private final Steward headroom =
       new HeadroomSteward(ENGINE, SERVICE, StewardSettings.of(1, SLOTS));
 
-  // A store hand's check takes seconds to begin: all slots of the engine hold batch items, the
-  // check waits inside the engine until one of them ends.
+  // Guards against an online request that takes seconds to begin: all slots of the engine hold
+  // batch items, and the request waits inside the engine until one of them ends.
   @Test
-  void anOnlineRequestFreesASlotInTheEventThatTellsOfIt() {
-    fill(naive);
-    fill(guarded);
-    assertEquals(0, cancels(naive.onOnline(ENTRY, 1, NOW)).size(), "the naive twin");
-    assertEquals(1, cancels(guarded.onOnline(ENTRY, 1, NOW)).size());
-    assertEquals(2, cancels(guarded.onOnline(ENTRY, 3, NOW)).size());
-    assertEquals(0, cancels(guarded.onOnline(ENTRY, 3, NOW)).size(), "the same news twice");
+  void anOnlineNoticeFreesASlotAtOnce() {
+    fill(eager);
+    fill(headroom);
+    assertEquals(0, cancels(eager.onOnline(ENTRY, 1, NOW)).size(), "the baseline");
+    assertEquals(1, cancels(headroom.onOnline(ENTRY, 1, NOW)).size());
+    assertEquals(2, cancels(headroom.onOnline(ENTRY, 3, NOW)).size());
+    assertEquals(0, cancels(headroom.onOnline(ENTRY, 3, NOW)).size(), "the same notice twice");
   }
 
-  // Batch work is never done on a busy day: of the items at an engine the one that is almost ready
-  // is cancelled each time, and its work is lost.
+  // Guards against batch work that never finishes on a busy day: if the item that is almost
+  // finished is cancelled each time, its work is lost.
   @Test
-  void theItemThatLosesLeastIsCancelled() {
-    fill(guarded);
+  void theItemThatLosesTheFewestTokensIsCancelled() {
+    fill(headroom);
     for (int i = 0; i < SLOTS; i++) {
-      guarded.onProgress(ref(i), i == 2 ? 3 : 100 + i, NOW);
+      headroom.onProgress(ref(i), i == 2 ? 3 : 100 + i, NOW);
     }
-    assertEquals(List.of(ref(2)), cancels(guarded.onOnline(ENTRY, 1, NOW)));
+    assertEquals(List.of(ref(2)), cancels(headroom.onOnline(ENTRY, 1, NOW)));
   }
 
-  // The same store hand waits although every entry tells of its requests: one entry is cut off
-  // from the steward, its requests fill slots, and batch items are started in them again.
+  // Guards against online requests that wait because an entry instance cannot reach the
+  // dispatcher: its requests fill slots, and batch items are started in these slots again.
   @Test
-  void requestsThatNobodyTellsOfTakeRoomToo() {
-    fill(guarded);
+  void unreportedRequestsInALoadReportTakeSlots() {
+    fill(headroom);
     LoadReport report = new LoadReport(NOW.plusSeconds(1), SLOTS, 2, SLOTS, 0, 0, 0, 0);
-    List<Effect> effects = guarded.onLoad(report, NOW.plusSeconds(2));
+    List<Effect> effects = headroom.onLoad(report, NOW.plusSeconds(2));
     assertEquals(2, cancels(effects).size());
   }
 
-  // A roster is late although the engine stood idle: a preempted item waits for this engine while
-  // its online requests go on, and other engines have room.
+  // Guards against a preempted item that waits for its engine for as long as the online requests
+  // last, although other engines have free slots.
   @Test
-  void aPreemptedItemGoesBackWhenTheBurstLasts() {
-    fill(guarded);
-    ItemRef cancelled = cancels(guarded.onOnline(ENTRY, 1, NOW)).get(0);
-    guarded.onEnded(cancelled, BatchOutcome.PREEMPTED, 40, NOW);
-    List<Effect> effects = guarded.onTick(NOW.plusSeconds(3));
-    ReturnItems back =
+  void aPreemptedItemIsReturnedWhenTheBurstLasts() {
+    fill(headroom);
+    ItemRef cancelled = cancels(headroom.onOnline(ENTRY, 1, NOW)).get(0);
+    headroom.onEnded(cancelled, BatchOutcome.PREEMPTED, 40, NOW);
+    List<Effect> effects = headroom.onTick(NOW.plusSeconds(3));
+    ReturnItems returned =
         effects.stream()
             .filter(ReturnItems.class::isInstance)
             .map(ReturnItems.class::cast)
             .findFirst()
             .orElseThrow();
-    BatchItem item = back.items().get(0);
+    BatchItem item = returned.items().get(0);
     assertEquals(40, item.generated());
     assertEquals(Optional.of(ENGINE), item.keptAt());
   }
 
-  // Notes for the evening are not ready when the bus leaves: a large job that was accepted first
-  // has thousands of items, and the small one with a near due time waits for its end.
+  // Guards against a small job with a near due time that waits until a large job, which was
+  // accepted first and has thousands of items, has ended.
   @Test
   void anItemThatIsDueSoonGoesBeforeALargeOlderJob() {
     List<BatchItem> items = new ArrayList<>();
@@ -97,19 +97,18 @@
       items.add(item("large", i, Duration.ofHours(8)));
     }
     items.add(item("roster", 0, Duration.ofSeconds(1)));
-    assertFalse(startedJobs(naive.onItems(items, NOW)).contains("roster"), "the naive twin");
-    assertTrue(startedJobs(guarded.onItems(items, NOW)).contains("roster"));
+    assertFalse(startedJobs(eager.onItems(items, NOW)).contains("roster"), "the baseline");
+    assertTrue(startedJobs(headroom.onItems(items, NOW)).contains("roster"));
   }
 
-  // A report is missing, or a grower is billed twice: an item is started twice, or forgotten,
-  // after a mix of bursts, preemptions and ends.
+  // Guards against items that are started twice or lost in a mix of bursts, preemptions and ends.
   @Property(tries = 200, seed = "20261202")
-  void everyItemIsAtOnePlace(@ForAll long seed) {
+  void everyItemIsStartedOrReturnedOnce(@ForAll long seed) {
     Random random = new Random(seed);
     Steward steward = new HeadroomSteward(ENGINE, SERVICE, StewardSettings.of(0.5, SLOTS));
     Set<ItemRef> running = new HashSet<>();
     Set<ItemRef> outside = new HashSet<>();
-    int taken = 0;
+    int received = 0;
     int done = 0;
     Instant now = NOW;
     for (int i = 0; i < 300; i++) {
@@ -118,7 +117,7 @@
       int action = random.nextInt(5);
       if (action == 0) {
         effects = steward.onItems(List.of(item("job-" + i % 3, i, Duration.ofHours(1))), now);
-        taken++;
+        received++;
       } else if (action == 1) {
         effects = steward.onOnline(ENTRY, random.nextInt(SLOTS + 2), now);
       } else if (action == 2 && !running.isEmpty()) {
@@ -131,23 +130,23 @@
       } else {
         effects = steward.onTick(now);
       }
-      follow(effects, running, outside);
+      apply(effects, running, outside);
       assertTrue(running.size() <= SLOTS, "more items than slots");
     }
-    follow(steward.onStop(now), running, outside);
+    apply(steward.onStop(now), running, outside);
     for (ItemRef ref : List.copyOf(running)) {
       running.remove(ref);
-      follow(steward.onEnded(ref, BatchOutcome.PREEMPTED, 5, now), running, outside);
+      apply(steward.onEnded(ref, BatchOutcome.PREEMPTED, 5, now), running, outside);
     }
-    assertEquals(taken, done + outside.size());
+    assertEquals(received, done + outside.size());
   }
 
-  private static void follow(List<Effect> effects, Set<ItemRef> running, Set<ItemRef> outside) {
+  private static void apply(List<Effect> effects, Set<ItemRef> running, Set<ItemRef> outside) {
     for (Effect effect : effects) {
       if (effect instanceof StartItem start) {
         assertTrue(running.add(start.item().ref()), "started twice");
-      } else if (effect instanceof ReturnItems back) {
-        back.items().forEach(item -> assertTrue(outside.add(item.ref()), "returned twice"));
+      } else if (effect instanceof ReturnItems returned) {
+        returned.items().forEach(item -> assertTrue(outside.add(item.ref()), "returned twice"));
       }
     }
   }
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/batch/StewardElectionTest.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/batch/DispatcherElectionTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class StewardElectionTest {
+class DispatcherElectionTest {
 
   @Test
   void anEntryThatLeavesMovesOnlyItsOwnEndpoints() {
@@ -20,12 +20,12 @@
       all.add(new InstanceId("entry-" + i));
     }
     InstanceId gone = all.get(5);
-    List<InstanceId> rest = all.stream().filter(entry -> !entry.equals(gone)).toList();
+    List<InstanceId> remaining = all.stream().filter(entry -> !entry.equals(gone)).toList();
     int moved = 0;
     for (int i = 0; i < 120; i++) {
       EndpointId endpoint = new EndpointId("engine-" + i);
       InstanceId before = election.steward(endpoint, all).orElseThrow();
-      InstanceId after = election.steward(endpoint, rest).orElseThrow();
+      InstanceId after = election.steward(endpoint, remaining).orElseThrow();
       moved += before.equals(after) ? 0 : 1;
       assertTrue(before.equals(after) || before.equals(gone));
     }
