--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/endpoint/CountHistory.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/endpoint/CountHistory.java
@@ -4,10 +4,10 @@
 import java.util.Arrays;
 
 /**
- * A count with its recent past, so that a lagging report can be brought up to date.
+ * A count with its recent history, by which a delayed report can be brought up to date.
  *
- * <p>Changes within {@value #BUCKET_MILLIS} ms share one sample; the oldest of {@value #CAPACITY}
- * samples is dropped first.
+ * <p>Changes within {@value #BUCKET_MILLIS} ms share one sample. At most {@value #CAPACITY} samples
+ * are kept; the oldest is dropped first.
  */
 public final class CountHistory {
 
@@ -22,7 +22,7 @@
   private int before;
   private int current;
 
-  /** Adds to the count. */
+  /** Adds a change to the count. */
   public void add(int change, Instant now) {
     current += change;
     long time = now.toEpochMilli();
@@ -36,12 +36,12 @@
     size++;
   }
 
-  /** Returns the count now. */
+  /** Returns the current count. */
   public int current() {
     return current;
   }
 
-  /** Returns the count at a time, or the oldest that is remembered. */
+  /** Returns the count at a time; for a time before the history, returns the oldest known count. */
   public int at(Instant time) {
     long millis = time.toEpochMilli();
     int low = 0;
@@ -57,7 +57,7 @@
     return low == 0 ? before : values[slot(low - 1)];
   }
 
-  /** Returns how much the count has changed since a time. */
+  /** Returns by how much the count has changed since a time. */
   public int changeSince(Instant time) {
     return current - at(time);
   }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/endpoint/Endpoint.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/endpoint/Endpoint.java
@@ -6,37 +6,43 @@
 import java.time.Instant;
 import java.util.Optional;
 
-/** A read-only, live view of one endpoint; confined to the thread of its table. */
+/** A read-only, live view of one endpoint. It is confined to the thread of its table. */
 public interface Endpoint {
 
-  /** Returns its id. */
+  /** Returns the id of the endpoint. */
   EndpointId id();
 
-  /** Returns the service that it serves. */
+  /** Returns the service that the endpoint serves. */
   ServiceName service();
 
-  /** Returns where it runs. */
+  /** Returns the data centre that the endpoint runs in. */
   DataCentre dataCentre();
 
-  /** Returns host and port. */
+  /** Returns the host and port of the endpoint. */
   String address();
 
-  /** Returns its state at a time. */
+  /** Returns the state of the endpoint at a time. */
   EndpointState state(Instant now);
 
-  /** Returns the latest load report, if one has come. */
+  /** Returns the latest load report, or empty if none has arrived. */
   Optional<LoadReport> load();
 
-  /** Returns its share of a full endpoint's work, above 0 and up to 1, while it starts slowly. */
+  /**
+   * Returns the share of a full endpoint's work that this endpoint gets during its slow start:
+   * above 0, and 1 after the slow start.
+   */
   double startWeight(Instant now);
 
-  /** Returns recent failures, halved with each half-life since. */
+  /** Returns the number of recent failures; each failure counts half after each half-life. */
   double recentFailures(Instant now);
 
-  /** Returns whether it is kept for one suspect request, so that no other may go there. */
+  /**
+   * Returns whether the endpoint is reserved for one suspect request, so that no other request may
+   * go there.
+   */
   boolean quarantined(Instant now);
 
-  /** Returns whether a new request may be sent to it. */
+  /** Returns whether a new request may be sent to the endpoint. */
   default boolean accepts(Instant now) {
     return state(now) == EndpointState.LIVE && !quarantined(now);
   }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/endpoint/EndpointNotice.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/endpoint/EndpointNotice.java
@@ -5,11 +5,11 @@
 import java.time.Instant;
 
 /**
- * Tells peers what this instance observed about an endpoint.
+ * Informs peers about an observation that this instance made at an endpoint.
  *
- * @param endpoint the endpoint
- * @param observation what was observed
- * @param at when
+ * @param endpoint id of the endpoint
+ * @param observation what the instance observed
+ * @param at time of the observation
  */
 public record EndpointNotice(EndpointId endpoint, Observation observation, Instant at)
     implements PeerMessage {}
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/endpoint/EndpointState.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/endpoint/EndpointState.java
@@ -2,12 +2,12 @@
 
 /** State of an endpoint as this instance sees it. */
 public enum EndpointState {
-  /** Takes new requests. */
+  /** The endpoint accepts new requests. */
   LIVE,
-  /** Failed lately; takes none until its back-off has passed. */
+  /** The endpoint failed recently and gets no requests until its back-off time has passed. */
   SUSPECT,
-  /** Finishes what it has and takes nothing new. */
+  /** The endpoint finishes its running requests and accepts no new ones. */
   LEAVING,
-  /** No longer listed. */
+  /** The list of processes no longer contains the endpoint. */
   GONE
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/endpoint/EndpointTable.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/endpoint/EndpointTable.java
@@ -10,39 +10,46 @@
 import java.util.Optional;
 
 /**
- * Decides which endpoints are in service, from a list that lags, load reports and observations.
+ * Decides which endpoints are in service, based on a delayed list of processes, load reports and
+ * observations.
  *
- * <p>Confined to one thread.
+ * <p>Implementations are confined to one thread.
  */
 public interface EndpointTable {
 
-  /** Takes the platform's whole list; elements that are no endpoints are passed over. */
+  /**
+   * Updates the table with the platform's complete list of processes; processes that are not
+   * endpoints are ignored.
+   */
   void onList(List<ListedProcess> listed, Instant asOf, Instant now);
 
-  /** Takes a load report; one older than the latest is dropped. */
+  /** Updates the load of an endpoint; a report older than the latest one is dropped. */
   void onLoad(EndpointId id, LoadReport report, Instant now);
 
-  /** Takes an observation of this instance and returns what peers must hear. */
+  /** Handles an observation of this instance and returns the notices to send to its peers. */
   List<Effect> onObservation(EndpointId id, Observation observation, Instant now);
 
-  /** Takes an observation of a peer. */
+  /** Handles an observation of a peer. */
   void onNotice(EndpointNotice notice, Instant now);
 
-  /** Keeps an endpoint for one suspect request until a time, at the latest. */
+  /** Reserves an endpoint for one suspect request, until a given time at the latest. */
   void quarantine(EndpointId id, Instant until);
 
   /** Ends the quarantine of an endpoint. */
   void release(EndpointId id);
 
-  /** Returns an endpoint that is known, whatever its state. */
+  /** Returns a known endpoint, whatever its state. */
   Optional<Endpoint> find(EndpointId id);
 
-  /** Returns the endpoints of a service that are not gone; random access, stable order. */
+  /**
+   * Returns the endpoints of a service that are not gone, as a random-access list in a stable
+   * order.
+   */
   List<Endpoint> of(ServiceName service);
 
   /** Returns the endpoints of a service in one data centre that are not gone. */
   List<Endpoint> of(ServiceName service, DataCentre dataCentre);
 
-  /** Returns the endpoints that need a probe now, each counted as probed by this call. */
+  /** Returns the endpoints that are due for a probe; this call counts each of them as probed. */
   List<Endpoint> probesDue(Instant now);
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/endpoint/EndpointTableSettings.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/endpoint/EndpointTableSettings.java
@@ -3,16 +3,17 @@
 import java.time.Duration;
 
 /**
- * Times of a table of endpoints.
+ * Time limits and thresholds of an endpoint table.
  *
- * @param slowStart how long a new endpoint takes to get its full share
- * @param failureHalfLife after which a failure counts half
- * @param failuresToSuspect failures in a row that make an endpoint suspect
- * @param suspectFor how long the first suspicion lasts; each further one lasts twice as long
- * @param suspectAtMost how long a suspicion lasts at most
- * @param leavingHold how long an endpoint must be listed as live again before that is believed
- * @param absentGrace how long an endpoint may be missing from the list
- * @param massAbsentGrace the same when most endpoints are missing at once
+ * @param slowStart time after which a new endpoint gets its full share of requests
+ * @param failureHalfLife time after which a failure counts half
+ * @param failuresToSuspect number of consecutive failures that make an endpoint suspect
+ * @param suspectFor duration of the first suspicion; each further suspicion lasts twice as long
+ * @param suspectAtMost maximum duration of a suspicion
+ * @param leavingHold time after which a leaving endpoint that is listed as live again is trusted
+ * @param absentGrace time for which an endpoint may be missing from the list
+ * @param massAbsentGrace time for which endpoints may be missing from the list if most of them are
+ *     missing at once
  */
 public record EndpointTableSettings(
     Duration slowStart,
@@ -24,7 +25,7 @@
     Duration absentGrace,
     Duration massAbsentGrace) {
 
-  /** The values in use unless the settings of an instance say otherwise. */
+  /** The default values, which the settings of an instance can override. */
   public static final EndpointTableSettings DEFAULT =
       new EndpointTableSettings(
           Duration.ofSeconds(10),
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/endpoint/LoadReport.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/endpoint/LoadReport.java
@@ -4,16 +4,17 @@
 import java.time.Instant;
 
 /**
- * What an endpoint said about its load; it lags.
+ * Load that an endpoint reported; the report arrives with a delay.
  *
- * @param asOf when it was true
- * @param running requests that it executes
- * @param waiting requests that wait inside the endpoint
- * @param slots requests that it can execute at once
- * @param kvUsedTokens tokens held in its KV cache
- * @param kvTotalTokens tokens that its KV cache can hold
- * @param tokensPerSecond tokens that it generates a second, over all requests
- * @param batch batch items among its requests, which its steward fills in; 0 where unknown
+ * @param asOf time for which the report holds
+ * @param running number of requests that the endpoint executes
+ * @param waiting number of requests that wait inside the endpoint
+ * @param slots number of requests that the endpoint can execute at once
+ * @param kvUsedTokens number of tokens in the KV cache of the endpoint
+ * @param kvTotalTokens number of tokens that the KV cache can hold
+ * @param tokensPerSecond number of tokens that the endpoint generates per second, over all requests
+ * @param batch number of batch items among the requests, filled in by the dispatcher of the
+ *     endpoint; 0 if unknown
  */
 public record LoadReport(
     Instant asOf,
@@ -25,7 +26,7 @@
     double tokensPerSecond,
     int batch) {
 
-  /** Checks that the counts are not negative and that there is a slot. */
+  /** Checks that the counts are not negative and that there is at least one slot. */
   public LoadReport {
     Checks.notNegative(running, "running");
     Checks.notNegative(waiting, "waiting");
@@ -33,12 +34,12 @@
     Checks.isTrue(slots > 0, "slots must be positive, was " + slots);
   }
 
-  /** Returns the online requests inside the endpoint. */
+  /** Returns the number of online requests inside the endpoint. */
   public int online() {
     return Math.max(0, running + waiting - batch);
   }
 
-  /** Returns this report with the number of batch items in it. */
+  /** Returns this report with the given number of batch items. */
   public LoadReport withBatch(int items) {
     return new LoadReport(
         asOf, running, waiting, slots, kvUsedTokens, kvTotalTokens, tokensPerSecond, items);
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/endpoint/Observation.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/endpoint/Observation.java
@@ -1,17 +1,17 @@
 package io.hawthornlb.core.endpoint;
 
-/** What a request or probe showed about an endpoint. */
+/** What a request or probe revealed about an endpoint. */
 public enum Observation {
-  /** A request ended well. */
+  /** A request succeeded. */
   SUCCESS,
-  /** A probe ended well, and the endpoint does not say that it is leaving. */
+  /** A probe succeeded, and the endpoint does not report that it is leaving. */
   HEALTHY,
-  /** A request failed at the endpoint, or no connection could be made. */
+  /** A request failed at the endpoint, or no connection could be opened. */
   FAILURE,
-  /** The connection broke while requests ran: the process has probably died. */
+  /** The connection broke while requests ran, so the process has probably crashed. */
   CRASH,
-  /** A connection gave no byte for longer than it may. */
+  /** A connection delivered no byte for longer than allowed. */
   SILENT,
-  /** The endpoint refused new work or its health says that it is leaving. */
+  /** The endpoint refused new work, or its health check reports that it is leaving. */
   LEAVING
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/endpoint/package-info.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/endpoint/package-info.java
@@ -1,4 +1,7 @@
-/** What is known about endpoints: the lagging list, load reports, and what requests observed. */
+/**
+ * State of endpoints, derived from the delayed list of processes, load reports, and observations of
+ * requests.
+ */
 @NullMarked
 package io.hawthornlb.core.endpoint;
 
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/endpoint/support/EndpointCondition.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/endpoint/support/EndpointCondition.java
@@ -1,11 +1,11 @@
 package io.hawthornlb.core.endpoint.support;
 
-/** What speaks against sending requests to an endpoint; see {@code endpoint.yaml}. */
-enum EndpointSign {
-  /** It failed lately, and its back-off has not passed. */
+/** A condition under which an endpoint should get no requests; see {@code endpoint.yaml}. */
+enum EndpointCondition {
+  /** The endpoint failed recently, and its back-off time has not passed. */
   FAILING,
-  /** The list or the endpoint itself says that it is leaving. */
+  /** The list of processes or the endpoint itself reports that it is leaving. */
   WITHDRAWING,
-  /** Lists have not held it for longer than is put down to lag. */
+  /** The endpoint has been missing from the list for longer than the list's delay explains. */
   ABSENT
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/endpoint/support/EndpointIndex.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/endpoint/support/EndpointIndex.java
@@ -10,27 +10,27 @@
 import java.util.List;
 import java.util.Map;
 
-/** Lists of endpoints by service and data centre, rebuilt when membership changes. */
+/** Lists of endpoints by service and data centre, rebuilt when the set of endpoints changes. */
 final class EndpointIndex {
 
-  private record Place(ServiceName service, DataCentre dataCentre) {}
+  private record LocalService(ServiceName service, DataCentre dataCentre) {}
 
   private final Map<ServiceName, List<Endpoint>> byService = new HashMap<>();
-  private final Map<Place, List<Endpoint>> byPlace = new HashMap<>();
+  private final Map<LocalService, List<Endpoint>> byLocalService = new HashMap<>();
 
-  /** Replaces the content. */
+  /** Replaces the content of the index. */
   void rebuild(Collection<? extends Endpoint> endpoints) {
     byService.clear();
-    byPlace.clear();
+    byLocalService.clear();
     List<Endpoint> sorted = new ArrayList<>(endpoints);
     sorted.sort(Comparator.comparing(Endpoint::id));
     for (Endpoint endpoint : sorted) {
-      Place place = new Place(endpoint.service(), endpoint.dataCentre());
+      LocalService localService = new LocalService(endpoint.service(), endpoint.dataCentre());
       byService.computeIfAbsent(endpoint.service(), key -> new ArrayList<>()).add(endpoint);
-      byPlace.computeIfAbsent(place, key -> new ArrayList<>()).add(endpoint);
+      byLocalService.computeIfAbsent(localService, key -> new ArrayList<>()).add(endpoint);
     }
     byService.replaceAll((key, list) -> List.copyOf(list));
-    byPlace.replaceAll((key, list) -> List.copyOf(list));
+    byLocalService.replaceAll((key, list) -> List.copyOf(list));
   }
 
   /** Returns the endpoints of a service. */
@@ -40,6 +40,6 @@
 
   /** Returns the endpoints of a service in a data centre. */
   List<Endpoint> of(ServiceName service, DataCentre dataCentre) {
-    return byPlace.getOrDefault(new Place(service, dataCentre), List.of());
+    return byLocalService.getOrDefault(new LocalService(service, dataCentre), List.of());
   }
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/endpoint/support/ListedEndpoint.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/endpoint/support/ListedEndpoint.java
@@ -12,7 +12,7 @@
 import java.util.Optional;
 import org.jspecify.annotations.Nullable;
 
-/** An endpoint that is what the list says it is. */
+/** An endpoint whose state is exactly what the list of processes says. */
 final class ListedEndpoint implements Endpoint {
 
   private final EndpointId id;
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/endpoint/support/ListedEndpointTable.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/endpoint/support/ListedEndpointTable.java
@@ -18,9 +18,9 @@
 import java.util.Optional;
 
 /**
- * Naive table that believes the list and nothing else.
+ * Simple table that relies on the list of processes alone.
  *
- * <p>The reference of differential tests and the baseline of measurements.
+ * <p>It is the reference implementation in differential tests and the baseline of measurements.
  */
 public final class ListedEndpointTable implements EndpointTable {
 
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/endpoint/support/ObservedEndpointTable.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/endpoint/support/ObservedEndpointTable.java
@@ -26,13 +26,14 @@
 import java.util.Set;
 
 /**
- * Table that weighs the list against what requests and probes observe.
+ * Table that combines the list of processes with observations of requests and probes.
  *
- * <p>Signs of leaving and failure count at once; signs of life count only when they last.
+ * <p>Evidence that an endpoint leaves or fails takes effect at once; evidence that it is live again
+ * takes effect only if it lasts.
  */
 public final class ObservedEndpointTable implements EndpointTable {
 
-  private static final int FEWEST_FOR_MASS_ABSENCE = 4;
+  private static final int MIN_FOR_MASS_ABSENCE = 4;
 
   private final EndpointTableSettings settings;
   private final Map<EndpointId, TrackedEndpoint> endpoints = new HashMap<>();
@@ -54,7 +55,7 @@
     Set<EndpointId> present = new HashSet<>();
     for (ListedProcess process : processes) {
       if (process.kind() == ListedKind.ENDPOINT && process.service().isPresent()) {
-        present.add(take(process, process.service().get(), asOf, now));
+        present.add(update(process, process.service().get(), asOf, now));
       }
     }
     markAbsent(present, now);
@@ -81,8 +82,9 @@
     EndpointState before = endpoint.state(now);
     apply(endpoint, observation, now);
     boolean changed = endpoint.state(now) != before;
-    // Each entry would have to run into the same fault before it knew of it. Peers therefore hear
-    // of each change to the worse; changes to the better each entry finds by its own probe.
+    // Without a notice each entry instance would have to run into the same fault itself. So peers
+    // are informed of each change to a worse state; changes to a better state each entry instance
+    // finds by its own probes.
     if (changed && observation != Observation.HEALTHY && observation != Observation.SUCCESS) {
       EndpointNotice notice = new EndpointNotice(id, observation, now);
       return List.of(new SpreadPeerMessage(notice, SpreadScope.FLEET));
@@ -132,17 +134,17 @@
   @Override
   public List<Endpoint> probesDue(Instant now) {
     return endpoints.values().stream()
-        .filter(endpoint -> endpoint.takeProbe(now))
+        .filter(endpoint -> endpoint.claimProbe(now))
         .map(Endpoint.class::cast)
         .toList();
   }
 
-  private EndpointId take(ListedProcess process, ServiceName service, Instant asOf, Instant now) {
+  private EndpointId update(ListedProcess process, ServiceName service, Instant asOf, Instant now) {
     EndpointId id = new EndpointId(process.id());
     TrackedEndpoint endpoint = endpoints.get(id);
     if (endpoint == null || !endpoint.address().equals(process.address())) {
       endpoint = new TrackedEndpoint(process, service, settings);
-      // The first list holds endpoints that have run for long; only later ones are new.
+      // The endpoints in the first list may have run for long; only those in later lists are new.
       if (listed) {
         endpoint.startSlowly(now);
       }
@@ -162,9 +164,10 @@
 
   private void markAbsent(Set<EndpointId> present, Instant now) {
     long absent = endpoints.keySet().stream().filter(id -> !present.contains(id)).count();
-    // A platform that restarts may answer with a list that is almost empty; believing it would
-    // take the whole fleet out of service. Most endpoints gone at once is believed only later.
-    boolean mass = endpoints.size() >= FEWEST_FOR_MASS_ABSENCE && absent * 2 > endpoints.size();
+    // A platform that restarts may return a list that is almost empty; trusting it would take the
+    // whole fleet out of service. If most endpoints are missing at once, they count as gone only
+    // after a longer time.
+    boolean mass = endpoints.size() >= MIN_FOR_MASS_ABSENCE && absent * 2 > endpoints.size();
     Duration grace = mass ? settings.massAbsentGrace() : settings.absentGrace();
     endpoints.forEach(
         (id, endpoint) -> {
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/endpoint/support/TrackedEndpoint.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/endpoint/support/TrackedEndpoint.java
@@ -18,17 +18,17 @@
 import java.util.Optional;
 import org.jspecify.annotations.Nullable;
 
-/** What is known about one endpoint; the rules of its states. */
+/** State of one endpoint, and the rules by which the state changes. */
 final class TrackedEndpoint implements Endpoint {
 
-  private static final StateChart<EndpointState, EndpointSign, NoAction> CHART =
+  private static final StateChart<EndpointState, EndpointCondition, NoAction> CHART =
       ChartResources.load(
           TrackedEndpoint.class,
           "endpoint.yaml",
-          ChartTypes.of(EndpointState.class, EndpointSign.class));
+          ChartTypes.of(EndpointState.class, EndpointCondition.class));
 
-  private static final double LEAST_START_WEIGHT = 0.1;
-  private static final int MOST_DOUBLINGS = 10;
+  private static final double MIN_START_WEIGHT = 0.1;
+  private static final int MAX_DOUBLINGS = 10;
 
   private final EndpointId id;
   private final ListedProcess listed;
@@ -38,7 +38,7 @@
   private @Nullable Instant liveSince;
   private double failures;
   private Instant failuresAt = Instant.MIN;
-  private int failuresInRow;
+  private int consecutiveFailures;
   private int suspicions;
   private Instant suspectUntil = Instant.MIN;
   private Instant nextProbe = Instant.MIN;
@@ -79,19 +79,19 @@
   public EndpointState state(Instant now) {
     EndpointState state = CHART.initial();
     if (now.isBefore(suspectUntil)) {
-      state = next(state, EndpointSign.FAILING);
+      state = next(state, EndpointCondition.FAILING);
     }
     if (leavingSince != null) {
-      state = next(state, EndpointSign.WITHDRAWING);
+      state = next(state, EndpointCondition.WITHDRAWING);
     }
     if (absentSince != null && !now.isBefore(absentSince.plus(absentGrace))) {
-      state = next(state, EndpointSign.ABSENT);
+      state = next(state, EndpointCondition.ABSENT);
     }
     return state;
   }
 
-  private static EndpointState next(EndpointState state, EndpointSign sign) {
-    return CHART.transition(state, sign).map(Transition::target).orElse(state);
+  private static EndpointState next(EndpointState state, EndpointCondition condition) {
+    return CHART.transition(state, condition).map(Transition::target).orElse(state);
   }
 
   @Override
@@ -109,7 +109,7 @@
       return 1;
     }
     double ramp = (double) Duration.between(from, now).toMillis() / settings.slowStart().toMillis();
-    return Math.max(LEAST_START_WEIGHT, ramp);
+    return Math.max(MIN_START_WEIGHT, ramp);
   }
 
   @Override
@@ -126,39 +126,40 @@
     return now.isBefore(quarantinedUntil);
   }
 
-  /** Takes a load report unless a later one has come. */
+  /** Updates the load, unless a later report has already arrived. */
   void updateLoad(LoadReport report) {
     if (load == null || report.asOf().isAfter(load.asOf())) {
       load = report;
     }
   }
 
-  /** Starts it slowly from now on. */
+  /** Begins a slow start now. */
   void startSlowly(Instant now) {
     liveSince = now;
   }
 
-  /** Takes that a list of this time has it as live. */
+  /** Handles a list as of the given time that shows the endpoint as live. */
   void listedLive(Instant asOf) {
     absentSince = null;
     absentGrace = settings.absentGrace();
-    // A list that flaps would bring a leaving endpoint back into service, and requests sent there
-    // would be refused or cut. Only a list that is later than all signs of leaving by the hold
-    // time is believed; any new sign starts the hold again.
+    // A list that alternates between both states would bring a leaving endpoint back into service,
+    // and requests sent there would be refused or broken off. So the list is trusted only if it is
+    // later than all evidence of leaving by the hold time; each new piece of evidence restarts the
+    // hold time.
     if (leavingSince != null && !asOf.isBefore(leavingSince.plus(settings.leavingHold()))) {
       leavingSince = null;
       liveSince = asOf;
     }
   }
 
-  /** Takes that a list, or the endpoint itself, says that it is leaving. */
+  /** Records that a list, or the endpoint itself, reports that the endpoint is leaving. */
   void leaving(Instant at) {
     if (leavingSince == null || at.isAfter(leavingSince)) {
       leavingSince = at;
     }
   }
 
-  /** Takes that a list does not hold it. */
+  /** Records that a list does not contain the endpoint. */
   void absent(Instant now, Duration grace) {
     if (absentSince == null) {
       absentSince = now;
@@ -166,32 +167,32 @@
     absentGrace = grace;
   }
 
-  /** Returns whether nothing needs to be remembered about it. */
+  /** Returns whether the table can forget the endpoint. */
   boolean forgettable(Instant now) {
     return state(now) == EndpointState.GONE
         && (leavingSince == null || now.isAfter(leavingSince.plus(settings.leavingHold())));
   }
 
-  /** Takes a request or probe that ended well. */
+  /** Records a request that succeeded. */
   void succeeded() {
-    failuresInRow = 0;
+    consecutiveFailures = 0;
     suspicions = 0;
   }
 
-  /** Takes a probe that ended well, which ends a suspicion early. */
+  /** Records a successful probe, which ends a suspicion early. */
   void healthy(Instant now) {
     if (now.isBefore(suspectUntil)) {
       suspectUntil = now;
     }
-    failuresInRow = 0;
+    consecutiveFailures = 0;
   }
 
-  /** Takes a failed request. */
+  /** Records a failed request. */
   void failed(Instant now) {
     failures = recentFailures(now) + 1;
     failuresAt = now;
-    failuresInRow++;
-    if (failuresInRow >= settings.failuresToSuspect()) {
+    consecutiveFailures++;
+    if (consecutiveFailures >= settings.failuresToSuspect()) {
       suspect(now);
     }
     if (absentSince != null) {
@@ -199,14 +200,14 @@
     }
   }
 
-  /** Takes a crash or a silent connection. */
+  /** Records a crash or a silent connection. */
   void suspect(Instant now) {
     failures = Math.max(1, recentFailures(now));
     failuresAt = now;
     if (now.isBefore(suspectUntil)) {
       return;
     }
-    long factor = 1L << Math.min(suspicions, MOST_DOUBLINGS);
+    long factor = 1L << Math.min(suspicions, MAX_DOUBLINGS);
     Duration wait = settings.suspectFor().multipliedBy(factor);
     if (wait.compareTo(settings.suspectAtMost()) > 0) {
       wait = settings.suspectAtMost();
@@ -216,8 +217,11 @@
     nextProbe = now.plus(wait.dividedBy(2));
   }
 
-  /** Returns whether it is suspect and its next probe is due; counts it as probed. */
-  boolean takeProbe(Instant now) {
+  /**
+   * Returns whether the endpoint is suspect and its next probe is due; counts the endpoint as
+   * probed if so.
+   */
+  boolean claimProbe(Instant now) {
     if (state(now) != EndpointState.SUSPECT || now.isBefore(nextProbe)) {
       return false;
     }
@@ -225,7 +229,7 @@
     return true;
   }
 
-  /** Keeps it for one request until a time. */
+  /** Reserves the endpoint for one request until a time. */
   void quarantine(Instant until) {
     quarantinedUntil = until;
   }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/endpoint/support/package-info.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/endpoint/support/package-info.java
@@ -1,4 +1,4 @@
-/** Implementations of the table of endpoints. */
+/** Implementations of the endpoint table. */
 @NullMarked
 package io.hawthornlb.core.endpoint.support;
 
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/endpoint/CountHistoryTest.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/endpoint/CountHistoryTest.java
@@ -14,7 +14,7 @@
   void agreesWithAMapOfAllChanges(@ForAll long seed) {
     Random random = new Random(seed);
     CountHistory history = new CountHistory();
-    TreeMap<Long, Integer> naive = new TreeMap<>();
+    TreeMap<Long, Integer> changes = new TreeMap<>();
     long time = 0;
     int count = 0;
     for (int i = 0; i < CountHistory.CAPACITY; i++) {
@@ -22,12 +22,12 @@
       int change = random.nextInt(5) - 2;
       count += change;
       history.add(change, Instant.ofEpochMilli(time));
-      naive.put(time, count);
+      changes.put(time, count);
     }
     for (int i = 0; i < 50; i++) {
-      long asked = (long) (random.nextDouble() * time);
-      var floor = naive.floorEntry(asked);
-      assertEquals(floor == null ? 0 : floor.getValue(), history.at(Instant.ofEpochMilli(asked)));
+      long instant = (long) (random.nextDouble() * time);
+      var floor = changes.floorEntry(instant);
+      assertEquals(floor == null ? 0 : floor.getValue(), history.at(Instant.ofEpochMilli(instant)));
     }
     assertEquals(count, history.current());
   }
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/endpoint/EndpointTableFailureTest.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/endpoint/EndpointTableFailureTest.java
@@ -29,45 +29,46 @@
   private static final EndpointId FIRST = new EndpointId("engine-0");
   private static final int ENGINES = 6;
 
-  private final EndpointTable naive = new ListedEndpointTable();
-  private final EndpointTable guarded = new ObservedEndpointTable(EndpointTableSettings.DEFAULT);
+  private final EndpointTable listOnly = new ListedEndpointTable();
+  private final EndpointTable observing = new ObservedEndpointTable(EndpointTableSettings.DEFAULT);
 
-  // A coordinator's request is refused by an engine that shuts down: the engine has said that it
-  // is leaving, but the list still has it as live for 20 s more, and requests go on to it.
+  // Guards against requests that are sent to an engine that shuts down and refuses them: the
+  // engine has reported that it is leaving, but the list shows it as live for 20 s more.
   @Test
-  void aRefusalOfALeavingEndpointCountsAtOnce() {
-    for (EndpointTable table : List.of(naive, guarded)) {
+  void aReportOfLeavingTakesEffectAtOnce() {
+    for (EndpointTable table : List.of(listOnly, observing)) {
       table.onList(list(ListedState.LIVE), at(0), at(0));
       table.onObservation(FIRST, Observation.LEAVING, at(1));
       table.onList(list(ListedState.LIVE), at(2), at(2));
     }
-    assertTrue(naive.find(FIRST).orElseThrow().accepts(at(4)), "the naive twin");
-    assertEquals(EndpointState.LEAVING, guarded.find(FIRST).orElseThrow().state(at(4)));
+    assertTrue(listOnly.find(FIRST).orElseThrow().accepts(at(4)), "the baseline");
+    assertEquals(EndpointState.LEAVING, observing.find(FIRST).orElseThrow().state(at(4)));
   }
 
-  // The same at another entry: the refusal is known at one entry, and each of the other twelve
-  // sends one more request to find out for itself.
+  // Guards against each of 13 entry instances losing a request to the same leaving engine: one of
+  // them knows the refusal, and each of the other twelve would send one more request to find out.
   @Test
-  void peersHearThatAnEndpointIsLeaving() {
+  void peersAreInformedThatAnEndpointIsLeaving() {
     EndpointTable peer = new ObservedEndpointTable(EndpointTableSettings.DEFAULT);
-    guarded.onList(list(ListedState.LIVE), at(0), at(0));
+    observing.onList(list(ListedState.LIVE), at(0), at(0));
     peer.onList(list(ListedState.LIVE), at(0), at(0));
-    List<Effect> effects = guarded.onObservation(FIRST, Observation.LEAVING, at(1));
+    List<Effect> effects = observing.onObservation(FIRST, Observation.LEAVING, at(1));
     SpreadPeerMessage spread = (SpreadPeerMessage) effects.get(0);
     peer.onNotice((EndpointNotice) spread.message(), at(1));
     assertFalse(peer.find(FIRST).orElseThrow().accepts(at(1)));
-    assertEquals(List.of(), guarded.onObservation(FIRST, Observation.LEAVING, at(2)));
+    assertEquals(List.of(), observing.onObservation(FIRST, Observation.LEAVING, at(2)));
   }
 
-  // An engine that shuts down gets requests again and again: copies of the list differ, and each
-  // answer that still has it as live brings it back.
+  // Guards against an engine that shuts down and gets requests again and again: copies of the list
+  // differ, and each list that still shows the engine as live would bring it back into service.
   @Property(tries = 200, seed = "20261202")
-  void aFlappingListBringsNoLeavingEndpointBack(@ForAll @Size(max = 25) List<Boolean> answers) {
+  void aFlappingListDoesNotBringALeavingEndpointBack(
+      @ForAll @Size(max = 25) List<Boolean> liveInList) {
     EndpointTable table = new ObservedEndpointTable(EndpointTableSettings.DEFAULT);
     table.onList(list(ListedState.LIVE), at(0), at(0));
     table.onList(list(ListedState.LEAVING), at(1), at(1));
     int second = 1;
-    for (boolean live : answers) {
+    for (boolean live : liveInList) {
       second++;
       table.onList(list(live ? ListedState.LIVE : ListedState.LEAVING), at(second), at(second));
       assertFalse(table.find(FIRST).orElseThrow().accepts(at(second)));
@@ -75,65 +76,65 @@
   }
 
   @Test
-  void anEndpointThatStaysListedAsLiveComesBackSlowly() {
-    guarded.onList(list(ListedState.LEAVING), at(0), at(0));
-    guarded.onList(list(ListedState.LIVE), at(31), at(31));
-    Endpoint endpoint = guarded.find(FIRST).orElseThrow();
+  void anEndpointThatStaysListedAsLiveReturnsWithASlowStart() {
+    observing.onList(list(ListedState.LEAVING), at(0), at(0));
+    observing.onList(list(ListedState.LIVE), at(31), at(31));
+    Endpoint endpoint = observing.find(FIRST).orElseThrow();
     assertTrue(endpoint.accepts(at(31)));
     assertTrue(endpoint.startWeight(at(32)) < 0.2);
     assertEquals(1, endpoint.startWeight(at(42)));
   }
 
-  // All requests are refused for want of endpoints: the platform restarts and answers with an
-  // empty list, which is believed.
+  // Guards against refusing all requests for lack of endpoints, because a restarting platform
+  // returns an empty list and the table trusts it.
   @Test
-  void anEmptyListTakesNothingOutOfService() {
-    for (EndpointTable table : List.of(naive, guarded)) {
+  void anEmptyListTakesNoEndpointOutOfService() {
+    for (EndpointTable table : List.of(listOnly, observing)) {
       table.onList(list(ListedState.LIVE), at(0), at(0));
       table.onList(List.of(), at(1), at(1));
     }
-    assertEquals(0, naive.of(SERVICE).size(), "the naive twin");
-    long taking = guarded.of(SERVICE).stream().filter(e -> e.accepts(at(10))).count();
-    assertEquals(ENGINES, taking);
+    assertEquals(0, listOnly.of(SERVICE).size(), "the baseline");
+    long accepting = observing.of(SERVICE).stream().filter(e -> e.accepts(at(10))).count();
+    assertEquals(ENGINES, accepting);
   }
 
   @Test
   void anEndpointMissingFromTheListIsGoneAfterTheGrace() {
-    guarded.onList(list(ListedState.LIVE), at(0), at(0));
+    observing.onList(list(ListedState.LIVE), at(0), at(0));
     List<ListedProcess> rest = list(ListedState.LIVE).subList(1, ENGINES);
-    guarded.onList(rest, at(1), at(1));
-    assertTrue(guarded.find(FIRST).orElseThrow().accepts(at(2)), "one list may omit it");
-    guarded.onList(rest, at(4), at(4));
-    assertFalse(guarded.of(SERVICE).stream().anyMatch(e -> e.id().equals(FIRST)));
+    observing.onList(rest, at(1), at(1));
+    assertTrue(observing.find(FIRST).orElseThrow().accepts(at(2)), "one list may omit it");
+    observing.onList(rest, at(4), at(4));
+    assertFalse(observing.of(SERVICE).stream().anyMatch(e -> e.id().equals(FIRST)));
   }
 
-  // Requests to one engine hang one after the other: a connection has gone silent, new ones are
-  // opened, and the router goes on choosing the engine because it looks idle.
+  // Guards against requests that hang at an engine one after the other: a connection has gone
+  // silent, new ones are opened, and the router keeps choosing the engine because it looks idle.
   @Test
-  void aSilentEndpointGetsNothingUntilAProbeEndsWell() {
-    for (EndpointTable table : List.of(naive, guarded)) {
+  void aSilentEndpointGetsNoRequestsUntilAProbeSucceeds() {
+    for (EndpointTable table : List.of(listOnly, observing)) {
       table.onList(list(ListedState.LIVE), at(0), at(0));
       table.onObservation(FIRST, Observation.SILENT, at(1));
     }
-    assertTrue(naive.find(FIRST).orElseThrow().accepts(at(1)), "the naive twin");
-    Endpoint endpoint = guarded.find(FIRST).orElseThrow();
+    assertTrue(listOnly.find(FIRST).orElseThrow().accepts(at(1)), "the baseline");
+    Endpoint endpoint = observing.find(FIRST).orElseThrow();
     assertFalse(endpoint.accepts(at(1)));
-    assertEquals(List.of(), guarded.probesDue(at(1)));
+    assertEquals(List.of(), observing.probesDue(at(1)));
     Instant probe = at(1).plusMillis(600);
-    assertEquals(List.of(endpoint), guarded.probesDue(probe));
-    guarded.onObservation(FIRST, Observation.HEALTHY, probe);
+    assertEquals(List.of(endpoint), observing.probesDue(probe));
+    observing.onObservation(FIRST, Observation.HEALTHY, probe);
     assertTrue(endpoint.accepts(probe));
     assertTrue(endpoint.recentFailures(probe) > 0.5);
   }
 
   @Test
   void anOlderListOrReportIsDropped() {
-    guarded.onList(list(ListedState.LEAVING), at(5), at(5));
-    guarded.onList(list(ListedState.LIVE), at(4), at(60));
-    assertFalse(guarded.find(FIRST).orElseThrow().accepts(at(60)));
-    guarded.onLoad(FIRST, new LoadReport(at(7), 3, 0, 16, 0, 0, 0, 0), at(8));
-    guarded.onLoad(FIRST, new LoadReport(at(6), 9, 0, 16, 0, 0, 0, 0), at(8));
-    assertEquals(3, guarded.find(FIRST).orElseThrow().load().orElseThrow().running());
+    observing.onList(list(ListedState.LEAVING), at(5), at(5));
+    observing.onList(list(ListedState.LIVE), at(4), at(60));
+    assertFalse(observing.find(FIRST).orElseThrow().accepts(at(60)));
+    observing.onLoad(FIRST, new LoadReport(at(7), 3, 0, 16, 0, 0, 0, 0), at(8));
+    observing.onLoad(FIRST, new LoadReport(at(6), 9, 0, 16, 0, 0, 0, 0), at(8));
+    assertEquals(3, observing.find(FIRST).orElseThrow().load().orElseThrow().running());
   }
 
   private static List<ListedProcess> list(ListedState first) {
