--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/catalogue/Catalogue.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/catalogue/Catalogue.java
@@ -7,9 +7,9 @@
 import java.util.Optional;
 
 /**
- * The whole catalogue at one revision.
+ * The complete catalogue at one revision.
  *
- * @param revision the offset of the record that made this revision, or -1 for the empty catalogue
+ * @param revision offset of the record that made this revision, or -1 for the empty catalogue
  * @param services services by name
  * @param workspaces workspaces by id
  */
@@ -21,7 +21,7 @@
   /** The catalogue before the first edit. */
   public static final Catalogue EMPTY = new Catalogue(-1, Map.of(), Map.of());
 
-  /** Copies the maps. */
+  /** Checks the revision and copies the maps. */
   public Catalogue {
     Checks.isTrue(revision >= -1, "revision must be an offset or -1");
     services = Map.copyOf(services);
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/catalogue/CatalogueChecker.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/catalogue/CatalogueChecker.java
@@ -4,18 +4,19 @@
 import java.util.List;
 
 /**
- * Finds what is wrong with an edit; the same on every instance and in every version.
+ * Checks whether an edit is valid. A version of the rules gives the same result on every instance
+ * and in every release.
  *
- * <p>Other checks are other rules with a number of their own.
+ * <p>A changed set of checks is a new version of the rules, with a number of its own.
  */
 public interface CatalogueChecker {
 
-  /** The version of the rules that new edits name. */
+  /** The version of the rules that new edits use. */
   int LATEST_RULES = 1;
 
-  /** Returns the version of the rules. */
+  /** Returns the version of the rules that this checker applies. */
   int rules();
 
-  /** Returns everything that is wrong with an edit of a catalogue; empty if it may be accepted. */
+  /** Returns all faults of an edit to a catalogue; empty if the edit may be accepted. */
   List<Finding> check(Catalogue catalogue, CatalogueEdit edit);
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/catalogue/CatalogueEdit.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/catalogue/CatalogueEdit.java
@@ -7,16 +7,17 @@
 import java.util.List;
 
 /**
- * A change of the catalogue, accepted or void as a whole.
+ * A change of the catalogue, which is accepted or rejected as a whole.
  *
- * @param rules the version of the checks that decide over it, the same on every instance
- * @param editId names the edit through resends, also by way of other instances
- * @param baseRevision the revision that the author saw
- * @param author who made it
- * @param putServices services that are added or replaced
- * @param putWorkspaces workspaces that are added or replaced
- * @param removedServices services that are removed
- * @param removedWorkspaces workspaces that are removed
+ * @param rules version of the rules by which every instance checks the edit
+ * @param editId id of the edit, which stays the same when the edit is resent, also through another
+ *     instance
+ * @param baseRevision revision that the author saw when making the edit
+ * @param author author of the edit
+ * @param putServices services to add or replace
+ * @param putWorkspaces workspaces to add or replace
+ * @param removedServices services to remove
+ * @param removedWorkspaces workspaces to remove
  */
 public record CatalogueEdit(
     int rules,
@@ -37,12 +38,12 @@
     removedWorkspaces = List.copyOf(removedWorkspaces);
   }
 
-  /** Starts an edit that rests on a revision. */
+  /** Returns a builder of an edit that is based on a revision. */
   public static Builder builder(String editId, long baseRevision, String author) {
     return new Builder(editId, baseRevision, author);
   }
 
-  /** Collects the entries of a {@link CatalogueEdit}. */
+  /** Builder of a {@link CatalogueEdit}. */
   public static final class Builder {
 
     private final String editId;
@@ -60,7 +61,7 @@
       this.author = author;
     }
 
-    /** Sets the version of the checks; the latest by default. */
+    /** Sets the version of the rules; the latest by default. */
     public Builder rules(int value) {
       this.rules = value;
       return this;
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/catalogue/CatalogueEditor.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/catalogue/CatalogueEditor.java
@@ -4,20 +4,24 @@
 import io.vavr.control.Either;
 import java.util.List;
 
-/** Takes edits of operators to the log. Confined to the thread of the fold. */
+/**
+ * Submits the edits of operators to the log. Implementations are confined to the thread of the
+ * fold.
+ */
 public interface CatalogueEditor {
 
   /**
-   * Returns the record to append, or the outcome where it is certain without the log.
+   * Returns the record to append, or the outcome if it is certain without appending the edit.
    *
-   * <p>The outcome of an appended edit comes from {@link CatalogueView#outcome}.
+   * <p>The outcome of an appended edit is available from {@link CatalogueView#outcome} after this
+   * instance has folded the record.
    */
   Either<EditOutcome, AppendRecord> submit(CatalogueEdit edit);
 
   /**
-   * Returns snapshots that are due.
+   * Returns the snapshots that are due.
    *
-   * @param first whether this instance writes before the others
+   * @param first whether this instance writes snapshots before other instances do
    */
   List<AppendRecord> onTick(boolean first);
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/catalogue/CatalogueSnapshot.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/catalogue/CatalogueSnapshot.java
@@ -5,15 +5,16 @@
 import java.util.List;
 
 /**
- * Some entries of the catalogue at one offset; all parts together are the whole.
+ * One part of a snapshot of the catalogue at one offset; all parts together hold the complete
+ * catalogue.
  *
- * @param version the version of the fold that wrote it
- * @param upTo the offset below which every record is folded
- * @param part the number of this part, from zero
- * @param parts the number of parts
- * @param writers the record ids that still count as duplicates; in the first part
- * @param revision the revision in force
- * @param outcomes the outcomes still known, the oldest first; in the first part
+ * @param version version of the fold that wrote the snapshot
+ * @param upTo offset below which every record is included
+ * @param part number of this part, from zero
+ * @param parts number of parts
+ * @param writers record ids that still count as duplicates; present in the first part only
+ * @param revision revision in force
+ * @param outcomes outcomes that are still known, oldest first; present in the first part only
  * @param services services of this part
  * @param workspaces workspaces of this part
  */
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/catalogue/CatalogueView.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/catalogue/CatalogueView.java
@@ -3,15 +3,18 @@
 import java.util.List;
 import java.util.Optional;
 
-/** The catalogue as far as this instance has folded the log. */
+/** View of the catalogue up to the last record that this instance has folded. */
 public interface CatalogueView {
 
   /** Returns the catalogue in force. */
   Catalogue current();
 
-  /** Returns the outcomes of the last edits, the oldest first. */
+  /** Returns the outcomes of the last edits, oldest first. */
   List<EditOutcome> history();
 
-  /** Returns what became of an edit; empty if it was not read yet or is no longer known. */
+  /**
+   * Returns the outcome of an edit; empty if this instance has not read the edit yet or no longer
+   * knows it.
+   */
   Optional<EditOutcome> outcome(String editId);
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/catalogue/EditOutcome.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/catalogue/EditOutcome.java
@@ -5,13 +5,14 @@
 import java.util.Optional;
 
 /**
- * What became of one edit.
+ * Outcome of one edit.
  *
- * @param editId the edit
- * @param author who made it
- * @param revision its offset if it was accepted, else the revision that stayed in force
- * @param verdict accepted, lost or invalid
- * @param lostTo the edit that came first, if it lost and that edit is still known
+ * @param editId id of the edit
+ * @param author author of the edit
+ * @param revision offset of the edit if it was accepted, otherwise the revision that stayed in
+ *     force
+ * @param verdict whether the edit was accepted, lost or invalid
+ * @param lostTo the edit that came first, if this edit lost and the other edit is still known
  * @param findings all faults of an invalid edit
  */
 public record EditOutcome(
@@ -33,13 +34,13 @@
         edit.editId(), edit.author(), revision, EditVerdict.ACCEPTED, Optional.empty(), List.of());
   }
 
-  /** Returns the outcome of an edit whose base was no longer in force. */
+  /** Returns the outcome of an edit whose base revision was no longer in force. */
   public static EditOutcome lost(CatalogueEdit edit, long revision, Optional<EditSummary> lostTo) {
     return new EditOutcome(
         edit.editId(), edit.author(), revision, EditVerdict.LOST, lostTo, List.of());
   }
 
-  /** Returns the outcome of an edit with faults. */
+  /** Returns the outcome of an invalid edit. */
   public static EditOutcome invalid(CatalogueEdit edit, long revision, List<Finding> findings) {
     return new EditOutcome(
         edit.editId(), edit.author(), revision, EditVerdict.INVALID, Optional.empty(), findings);
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/catalogue/EditSummary.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/catalogue/EditSummary.java
@@ -1,10 +1,10 @@
 package io.hawthornlb.core.catalogue;
 
 /**
- * An accepted edit in short.
+ * Summary of an accepted edit.
  *
- * @param editId the edit
- * @param author who made it
- * @param revision the revision that it made
+ * @param editId id of the edit
+ * @param author author of the edit
+ * @param revision revision that the edit made
  */
 public record EditSummary(String editId, String author, long revision) {}
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/catalogue/EditVerdict.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/catalogue/EditVerdict.java
@@ -1,10 +1,10 @@
 package io.hawthornlb.core.catalogue;
 
-/** What became of an edit. */
+/** Verdict on an edit. */
 public enum EditVerdict {
-  /** It made a new revision. */
+  /** The edit made a new revision. */
   ACCEPTED,
-  /** Another edit of the same base came first; nothing changed. */
+  /** Another edit of the same base revision came first; nothing changed. */
   LOST,
   /** The checks found faults; nothing changed. */
   INVALID
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/catalogue/Limits.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/catalogue/Limits.java
@@ -3,15 +3,15 @@
 import io.hawthornlb.core.util.Checks;
 
 /**
- * Limits that hold for the whole fleet.
+ * Limits that apply to the whole fleet.
  *
- * @param requestsPerSecond admitted requests a second
- * @param concurrent requests in progress at once
- * @param bodyBytes the largest request body
+ * @param requestsPerSecond maximum number of admitted requests per second
+ * @param concurrent maximum number of requests in progress at once
+ * @param bodyBytes maximum size of a request body
  */
 public record Limits(double requestsPerSecond, int concurrent, int bodyBytes) {
 
-  /** Limits for entries that declare none. */
+  /** Limits of entries that declare none. */
   public static final Limits DEFAULT = new Limits(1_000, 1_000, 1 << 20);
 
   /** Checks that every limit is positive. */
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/catalogue/Repeatability.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/catalogue/Repeatability.java
@@ -1,6 +1,6 @@
 package io.hawthornlb.core.catalogue;
 
-/** Whether a request of a service may be executed more than once. */
+/** Tells whether a request of a service may be executed more than once. */
 public enum Repeatability {
   /** Every call may be repeated. */
   IDEMPOTENT,
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/catalogue/ServiceEntry.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/catalogue/ServiceEntry.java
@@ -8,16 +8,17 @@
 /**
  * One service of the catalogue.
  *
- * @param name the name that callers use
- * @param owner who answers for the entry
- * @param kind what kind of endpoint serves it
- * @param requestClass the class of its online requests
- * @param limits limits of all its requests together
- * @param deadline the time by which an online request must have its answer
- * @param firstToken the time by which a streamed answer must have begun
- * @param repeatability which of its calls may be executed again
- * @param batchWeight weight of batch throughput against online tail latency, 0 to 1
- * @param resultRetention how long results stay readable
+ * @param name name that callers use
+ * @param owner who is responsible for the entry
+ * @param kind kind of endpoint that serves requests
+ * @param requestClass class of the service's online requests
+ * @param limits limits on all requests of the service together
+ * @param deadline time within which an online request must be answered
+ * @param firstToken time within which a streamed answer must begin
+ * @param repeatability which requests may be executed more than once
+ * @param batchWeight weight of batch throughput against the tail latency of online requests, from 0
+ *     to 1
+ * @param resultRetention time for which results stay readable
  */
 public record ServiceEntry(
     ServiceName name,
@@ -31,13 +32,13 @@
     double batchWeight,
     Duration resultRetention) {
 
-  /** The deadline of an entry that declares none. */
+  /** Deadline of an entry that declares none. */
   public static final Duration DEFAULT_DEADLINE = Duration.ofSeconds(60);
 
-  /** The time to the first token of an entry that declares none. */
+  /** Time to the first token of an entry that declares none. */
   public static final Duration DEFAULT_FIRST_TOKEN = Duration.ofMillis(1_600);
 
-  /** Checks owner, times and weight. */
+  /** Checks the owner, the times and the weight. */
   public ServiceEntry {
     Checks.hasText(owner, "owner");
     Checks.isTrue(!deadline.isNegative() && !deadline.isZero(), "deadline must be positive");
@@ -46,12 +47,12 @@
     Checks.isTrue(!resultRetention.isNegative(), "result retention must not be negative");
   }
 
-  /** Starts an entry with the defaults for its kind. */
+  /** Returns a builder with the defaults for a kind of endpoint. */
   public static Builder builder(ServiceName name, String owner, ServiceKind kind) {
     return new Builder(name, owner, kind);
   }
 
-  /** Collects the values of a {@link ServiceEntry}. */
+  /** Builder of a {@link ServiceEntry}. */
   public static final class Builder {
 
     private final ServiceName name;
@@ -97,19 +98,22 @@
       return this;
     }
 
-    /** Sets which calls may be repeated; by default all of an engine, safe methods of others. */
+    /**
+     * Sets which requests may be repeated; by default all requests to an engine, and requests with
+     * a safe HTTP method to other services.
+     */
     public Builder repeatability(Repeatability value) {
       this.repeatability = value;
       return this;
     }
 
-    /** Sets the weight of batch throughput, 0 to 1; 0.5 by default. */
+    /** Sets the weight of batch throughput, from 0 to 1; 0.5 by default. */
     public Builder batchWeight(double value) {
       this.batchWeight = value;
       return this;
     }
 
-    /** Sets how long results stay readable; 24 hours by default. */
+    /** Sets the time for which results stay readable; 24 hours by default. */
     public Builder resultRetention(Duration value) {
       this.resultRetention = value;
       return this;
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/catalogue/ServiceKind.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/catalogue/ServiceKind.java
@@ -1,8 +1,8 @@
 package io.hawthornlb.core.catalogue;
 
-/** What kind of endpoint serves a catalogue entry. */
+/** Kind of endpoint that serves a catalogue entry. */
 public enum ServiceKind {
-  /** A model engine that batches continuously and streams tokens. */
+  /** A model engine, which uses continuous batching and streams tokens. */
   ENGINE,
   /** A plain HTTP service. */
   PLAIN
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/catalogue/WorkspaceEntry.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/catalogue/WorkspaceEntry.java
@@ -7,16 +7,16 @@
 /**
  * One workspace of the catalogue.
  *
- * @param id the workspace
- * @param owner who answers for the entry
- * @param keyHashes SHA-256 of each bearer key in lower-case hexadecimal
- * @param limits limits of all its requests together
- * @param weight its share under contention, relative to other workspaces
+ * @param id id of the workspace
+ * @param owner who is responsible for the entry
+ * @param keyHashes SHA-256 hash of each bearer key, in lower-case hexadecimal
+ * @param limits limits on all requests of the workspace together
+ * @param weight share of the workspace under contention, relative to other workspaces
  */
 public record WorkspaceEntry(
     WorkspaceId id, String owner, List<String> keyHashes, Limits limits, double weight) {
 
-  /** Checks owner and weight and copies the keys. */
+  /** Checks the owner and the weight, and copies the keys. */
   public WorkspaceEntry {
     Checks.hasText(owner, "owner");
     Checks.isTrue(weight > 0, "weight must be positive");
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/catalogue/package-info.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/catalogue/package-info.java
@@ -1,4 +1,4 @@
-/** The catalogue: what operators declare about services and workspaces. */
+/** The catalogue: the services and workspaces that operators declare. */
 @NullMarked
 package io.hawthornlb.core.catalogue;
 
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/catalogue/support/CatalogueFold.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/catalogue/support/CatalogueFold.java
@@ -23,15 +23,15 @@
 import java.util.TreeMap;
 
 /**
- * Folds the stream of the catalogue.
+ * Folds the catalogue's stream of records.
  *
- * <p>An edit is accepted only if it rests on the revision in force and its checks find nothing; its
- * offset is the new revision, so revisions only grow.
+ * <p>An edit is accepted only if it is based on the revision in force and its checks find no
+ * faults. The offset of the edit becomes the new revision, so revisions only increase.
  */
 public final class CatalogueFold extends AbstractStreamFold<CatalogueSnapshot>
     implements CatalogueView {
 
-  /** Entries in one part of a snapshot. */
+  /** Maximum number of services, and of workspaces, in one part of a snapshot. */
   static final int ENTRIES_PER_PART = 1_000;
 
   private static final int VERSION = 1;
@@ -40,7 +40,7 @@
   private final EditHistory history = new EditHistory();
   private Catalogue current = Catalogue.EMPTY;
 
-  /** Creates an empty catalogue. */
+  /** Creates a fold of an empty catalogue. */
   public CatalogueFold(CatalogueChecker checker) {
     super(CatalogueSnapshot.class, VERSION);
     this.checker = checker;
@@ -61,7 +61,7 @@
     return history.find(editId);
   }
 
-  /** Returns the outcome of an edit that rests on another revision than the one in force. */
+  /** Returns the outcome of an edit that is based on another revision than the one in force. */
   EditOutcome lost(CatalogueEdit edit) {
     Optional<EditSummary> winner = history.firstAcceptedAfter(edit.baseRevision());
     return EditOutcome.lost(edit, current.revision(), winner);
@@ -78,8 +78,8 @@
   protected List<CatalogueSnapshot> createSnapshot(long upTo, List<WriterWindow> writers) {
     List<ServiceEntry> services = List.copyOf(new TreeMap<>(current.services()).values());
     List<WorkspaceEntry> workspaces = List.copyOf(new TreeMap<>(current.workspaces()).values());
-    int most = Math.max(services.size(), workspaces.size());
-    int parts = Math.max(1, (most + ENTRIES_PER_PART - 1) / ENTRIES_PER_PART);
+    int largest = Math.max(services.size(), workspaces.size());
+    int parts = Math.max(1, (largest + ENTRIES_PER_PART - 1) / ENTRIES_PER_PART);
     List<CatalogueSnapshot> snapshot = new ArrayList<>(parts);
     for (int part = 0; part < parts; part++) {
       snapshot.add(
@@ -110,12 +110,11 @@
   }
 
   private void applyEdit(long offset, CatalogueEdit edit) {
-    // During an upgrade a newer version accepts what this one would refuse, or the reverse. It
-    // would
-    // show as two catalogues in one fleet. An edit names its rules; where they are unknown, this
-    // instance keeps the last revision that it understood. Later edits rest on one that it lacks
-    // and
-    // do not apply either, until the instance is replaced.
+    // During an upgrade a newer version could accept an edit that this one would refuse, or the
+    // reverse, so that the fleet would have two different catalogues. So an edit names its version
+    // of the rules. If this instance does not know that version, it keeps the last revision that
+    // it understood. Later edits are based on a revision that this instance lacks, so they do not
+    // apply either until the instance is upgraded.
     if (edit.rules() != checker.rules()) {
       noteNewer();
       return;
@@ -131,14 +130,14 @@
     }
     List<Finding> findings = checker.check(current, edit);
     if (findings.isEmpty()) {
-      current = edited(offset, edit);
+      current = withEdit(offset, edit);
       history.add(EditOutcome.accepted(edit, offset));
     } else {
       history.add(EditOutcome.invalid(edit, current.revision(), findings));
     }
   }
 
-  private Catalogue edited(long revision, CatalogueEdit edit) {
+  private Catalogue withEdit(long revision, CatalogueEdit edit) {
     Map<ServiceName, ServiceEntry> services = new HashMap<>(current.services());
     edit.removedServices().forEach(services::remove);
     edit.putServices().forEach(entry -> services.put(entry.name(), entry));
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/catalogue/support/DefaultCatalogueChecker.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/catalogue/support/DefaultCatalogueChecker.java
@@ -17,14 +17,14 @@
 import java.util.Set;
 import java.util.regex.Pattern;
 
-/** The checks of version 1. They must never change; other checks are version 2. */
+/** The checks of version 1 of the rules. They must never change; changed checks are version 2. */
 public final class DefaultCatalogueChecker implements CatalogueChecker {
 
   private static final int RULES = 1;
   private static final String SOURCE = "edit";
   private static final Pattern NAME = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._:-]{0,126}");
   private static final Pattern KEY_HASH = Pattern.compile("[0-9a-f]{64}");
-  private static final Duration LONGEST_RETENTION = Duration.ofDays(31);
+  private static final Duration MAX_RETENTION = Duration.ofDays(31);
 
   @Override
   public int rules() {
@@ -60,30 +60,30 @@
 
   private static void checkServices(
       Catalogue catalogue, CatalogueEdit edit, List<Finding> findings) {
-    Set<ServiceName> touched = new HashSet<>();
+    Set<ServiceName> edited = new HashSet<>();
     for (ServiceEntry entry : edit.putServices()) {
       String path = "services[" + entry.name() + "]";
-      if (!touched.add(entry.name())) {
+      if (!edited.add(entry.name())) {
         add(findings, path, "stands in the edit twice");
       }
       checkName(entry.name().value(), path, findings);
-      if (entry.resultRetention().compareTo(LONGEST_RETENTION) > 0) {
+      if (entry.resultRetention().compareTo(MAX_RETENTION) > 0) {
         add(findings, path + ".resultRetention", "must be at most 31 days");
       }
       checkFinite(entry.limits().requestsPerSecond(), path + ".limits.requestsPerSecond", findings);
     }
     for (ServiceName name : edit.removedServices()) {
       String path = "removedServices[" + name + "]";
-      checkRemoval(touched.add(name), catalogue.services().containsKey(name), path, findings);
+      checkRemoval(edited.add(name), catalogue.services().containsKey(name), path, findings);
     }
   }
 
   private static void checkWorkspaces(
       Catalogue catalogue, CatalogueEdit edit, List<Finding> findings) {
-    Set<WorkspaceId> touched = new HashSet<>();
+    Set<WorkspaceId> edited = new HashSet<>();
     for (WorkspaceEntry entry : edit.putWorkspaces()) {
       String path = "workspaces[" + entry.id() + "]";
-      if (!touched.add(entry.id())) {
+      if (!edited.add(entry.id())) {
         add(findings, path, "stands in the edit twice");
       }
       checkName(entry.id().value(), path, findings);
@@ -92,11 +92,14 @@
     }
     for (WorkspaceId id : edit.removedWorkspaces()) {
       String path = "removedWorkspaces[" + id + "]";
-      checkRemoval(touched.add(id), catalogue.workspaces().containsKey(id), path, findings);
+      checkRemoval(edited.add(id), catalogue.workspaces().containsKey(id), path, findings);
     }
   }
 
-  /** A key that two workspaces hold would let a caller act as either. */
+  /**
+   * Checks that no key belongs to two workspaces, because such a key would let a caller act as
+   * either of them.
+   */
   private static void checkKeys(Catalogue catalogue, CatalogueEdit edit, List<Finding> findings) {
     Map<String, WorkspaceId> owners = ownersOfKeptKeys(catalogue, edit);
     for (WorkspaceEntry entry : edit.putWorkspaces()) {
@@ -143,8 +146,8 @@
   }
 
   private static void checkRemoval(
-      boolean touchedOnce, boolean exists, String path, List<Finding> findings) {
-    if (!touchedOnce) {
+      boolean editedOnce, boolean exists, String path, List<Finding> findings) {
+    if (!editedOnce) {
       add(findings, path, "is put or removed in the same edit already");
     }
     if (!exists) {
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/catalogue/support/DefaultCatalogueEditor.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/catalogue/support/DefaultCatalogueEditor.java
@@ -17,7 +17,10 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Answers at once what the folded state makes certain, and appends the rest. */
+/**
+ * Editor that returns the outcome of an edit at once if the folded state determines it, and appends
+ * all other edits to the log.
+ */
 public final class DefaultCatalogueEditor implements CatalogueEditor {
 
   private final CatalogueFold fold;
@@ -25,7 +28,7 @@
   private final RecordIdSource ids;
   private final SnapshotSchedule<CatalogueSnapshot> snapshots;
 
-  /** Creates an editor over a fold. */
+  /** Creates an editor that uses a fold. */
   public DefaultCatalogueEditor(
       CatalogueFold fold,
       CatalogueChecker checker,
@@ -45,8 +48,8 @@
       return Either.left(known.get());
     }
     Catalogue current = fold.current();
-    // A base below the revision in force can never become current again; one above it is only not
-    // read yet, and is for the fold to judge.
+    // A base revision below the one in force can never be in force again. A base revision above it
+    // only has not been read yet, so the fold decides about the edit.
     if (edit.baseRevision() < current.revision()) {
       return Either.left(fold.lost(edit));
     }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/catalogue/support/EditHistory.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/catalogue/support/EditHistory.java
@@ -9,15 +9,15 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** The outcomes of the last edits, bounded by their number, the same on every instance. */
+/** The outcomes of the last edits, limited in number; the same on every instance. */
 final class EditHistory {
 
-  /** Outcomes kept. */
+  /** Maximum number of outcomes. */
   static final int MAX_OUTCOMES = 128;
 
   private final Map<String, EditOutcome> outcomes = new LinkedHashMap<>();
 
-  /** Adds the outcome of an edit; the oldest leaves when there are too many. */
+  /** Adds the outcome of an edit, and removes the oldest outcome if there are too many. */
   void add(EditOutcome outcome) {
     outcomes.put(outcome.editId(), outcome);
     if (outcomes.size() > MAX_OUTCOMES) {
@@ -27,12 +27,12 @@
     }
   }
 
-  /** Returns the outcome of an edit. */
+  /** Returns the outcome of an edit; empty if it is not known. */
   Optional<EditOutcome> find(String editId) {
     return Optional.ofNullable(outcomes.get(editId));
   }
 
-  /** Returns the first accepted edit after a revision, as far as it is still known. */
+  /** Returns the first accepted edit after a revision, if that edit is still known. */
   Optional<EditSummary> firstAcceptedAfter(long revision) {
     return outcomes.values().stream()
         .filter(each -> each.verdict() == EditVerdict.ACCEPTED && each.revision() > revision)
@@ -40,12 +40,12 @@
         .map(each -> new EditSummary(each.editId(), each.author(), each.revision()));
   }
 
-  /** Returns all outcomes, the oldest first. */
+  /** Returns all outcomes, oldest first. */
   List<EditOutcome> all() {
     return List.copyOf(outcomes.values());
   }
 
-  /** Replaces all outcomes. */
+  /** Replaces all outcomes, after a snapshot was read. */
   void install(List<EditOutcome> copy) {
     outcomes.clear();
     copy.forEach(outcome -> outcomes.put(outcome.editId(), outcome));
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/catalogue/support/package-info.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/catalogue/support/package-info.java
@@ -1,4 +1,4 @@
-/** The fold of the catalogue, the checks of edits and the way of an edit to the log. */
+/** The fold of the catalogue, the checks of edits, and the editor that appends edits to the log. */
 @NullMarked
 package io.hawthornlb.core.catalogue.support;
 
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/catalogue/support/CatalogueFoldTest.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/catalogue/support/CatalogueFoldTest.java
@@ -38,7 +38,7 @@
   private final RecordIdSource ids = new RecordIdSource(new InstanceId("n"));
 
   @Property(tries = 200, seed = "20261202")
-  void foldsLikeReplayingEverythingFromAnyRetainedOffset(
+  void foldFromAnyRetainedOffsetEqualsAReplayOfTheWholeStream(
       @ForAll long seed, @ForAll @IntRange(max = 80) int percentExpired) {
     List<LogRecord> stream = new CatalogueHistory(seed, STEPS).stream();
     int first = stream.size() * percentExpired / 100;
@@ -46,7 +46,7 @@
     late.restartAt(first);
     stream.subList(first, stream.size()).forEach(late::apply);
 
-    Catalogue expected = late.complete() ? NaiveCatalogue.replay(stream) : Catalogue.EMPTY;
+    Catalogue expected = late.complete() ? ReferenceCatalogue.replay(stream) : Catalogue.EMPTY;
     assertEquals(expected, late.current());
     if (late.complete()) {
       CatalogueFold whole = CatalogueHistory.fold();
@@ -55,10 +55,10 @@
     }
   }
 
-  // An operator's change was in force, and is gone a while later: a snapshot that another instance
-  // had made before the change came to stand behind it.
+  // Guards against an accepted edit that is undone later: a snapshot that another instance made
+  // before the edit stands behind the edit in the stream.
   @Property(tries = 100, seed = "20261202")
-  void revisionsNeverGoBack(@ForAll long seed) {
+  void revisionsNeverDecrease(@ForAll long seed) {
     long revision = -1;
     CatalogueFold reader = CatalogueHistory.fold();
     for (LogRecord entry : new CatalogueHistory(seed, STEPS).stream()) {
@@ -69,22 +69,22 @@
   }
 
   @Test
-  void aFoldThatTakesEverySnapshotGoesBack() {
+  void aFoldThatInstallsEverySnapshotLosesRevisions() {
     List<LogRecord> stream = new CatalogueHistory(1, STEPS).stream();
     long highest = -1;
-    int wentBack = 0;
+    int decreases = 0;
     for (int end = 1; end <= stream.size(); end++) {
-      long revision = NaiveCatalogue.withEverySnapshot(stream.subList(0, end)).revision();
-      wentBack += revision < highest ? 1 : 0;
+      long revision = ReferenceCatalogue.withEverySnapshot(stream.subList(0, end)).revision();
+      decreases += revision < highest ? 1 : 0;
       highest = Math.max(highest, revision);
     }
-    assertTrue(wentBack > 0);
+    assertTrue(decreases > 0);
   }
 
-  // Two operators change one workspace at the same time. Without the base revision the second
-  // change would silently undo the first, and both would have been told that theirs is in force.
+  // Guards against an edit that silently undoes another one: two operators change one workspace at
+  // the same time, and without the base revision both would be told that their edit is in force.
   @Test
-  void ofTwoOperatorsOneWinsAndTheOtherIsToldWhich() {
+  void theSecondOfTwoConcurrentEditsLosesAndNamesTheFirst() {
     apply(edit("mine", -1, "ana").put(CatalogueHistory.workspace(1, 1)).build());
     apply(edit("yours", -1, "ben").put(CatalogueHistory.workspace(1, 2)).build());
 
@@ -96,17 +96,17 @@
   }
 
   @Test
-  void withoutTheBaseRevisionTheLastOperatorUndoesTheFirst() {
+  void withoutTheBaseRevisionTheLastEditUndoesTheFirst() {
     CatalogueEdit first = edit("mine", -1, "ana").put(CatalogueHistory.workspace(1, 1)).build();
     CatalogueEdit second = edit("yours", -1, "ben").put(CatalogueHistory.workspace(1, 2)).build();
     List<LogRecord> stream = List.of(entry(0, first), entry(1, second));
 
-    assertEquals(1, weight(NaiveCatalogue.replay(stream)));
-    assertEquals(2, weight(NaiveCatalogue.lastEditWins(stream)));
+    assertEquals(1, weight(ReferenceCatalogue.replay(stream)));
+    assertEquals(2, weight(ReferenceCatalogue.lastEditWins(stream)));
   }
 
   @Test
-  void anInvalidEditChangesNothingAndNamesAllFaults() {
+  void anInvalidEditChangesNothingAndReportsAllFaults() {
     String hash = "0".repeat(64);
     apply(edit("first", -1, "ana").put(CatalogueHistory.workspace(1, 1, hash)).build());
     Catalogue before = fold.current();
@@ -135,10 +135,11 @@
         outcome.findings().stream().map(finding -> finding.path()).toList());
   }
 
-  // The answer to an operator's edit is lost, and the tool sends it again by way of another entry.
-  // Told that the edit lost to itself, the operator would make it once more.
+  // Guards against an edit that loses to itself: the answer to the edit is lost, and the
+  // operator's tool resends it through another entry instance. If the second answer were that the
+  // edit has lost, the operator would make the edit once more.
   @Test
-  void anEditThatIsSentAgainKeepsItsOutcome() {
+  void aResentEditKeepsItsOutcome() {
     CatalogueEdit edit = edit("mine", -1, "ana").put(CatalogueHistory.workspace(1, 1)).build();
     apply(edit);
     apply(edit);
@@ -147,7 +148,7 @@
     assertEquals(0, fold.current().revision());
   }
 
-  // During an upgrade a newer version accepts edits by rules that this one does not have.
+  // During an upgrade a newer version accepts edits by rules that this version does not know.
   @Test
   void keepsTheLastRevisionThatItUnderstands() {
     apply(edit("old", -1, "ana").put(CatalogueHistory.workspace(1, 1)).build());
@@ -161,7 +162,7 @@
   }
 
   @Test
-  void goesOnAfterARecordOfAnUnknownType() {
+  void continuesAfterARecordOfAnUnknownType() {
     apply(new UnknownRecord("newer"));
     apply(edit("e", -1, "ana").put(CatalogueHistory.workspace(1, 1)).build());
 
@@ -191,7 +192,7 @@
   }
 
   @Test
-  void theEditorAnswersAtOnceWhatIsCertain() {
+  void theEditorReturnsCertainOutcomesAtOnce() {
     DefaultCatalogueEditor editor =
         new DefaultCatalogueEditor(
             fold,
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/catalogue/support/CatalogueHistory.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/catalogue/support/CatalogueHistory.java
@@ -14,21 +14,24 @@
 import java.util.List;
 import java.util.Random;
 
-/** Operators that edit what they saw some time ago, resends, and snapshots that come late. */
+/**
+ * Generates a random stream: operators make edits based on older revisions, records are resent, and
+ * snapshots are appended late.
+ */
 final class CatalogueHistory {
 
   private static final int OPERATORS = 3;
 
   private final Random random;
   private final List<LogRecord> stream = new ArrayList<>();
-  private final List<CatalogueFold> seen = new ArrayList<>();
-  private final List<CatalogueSnapshot> held = new ArrayList<>();
+  private final List<CatalogueFold> operatorFolds = new ArrayList<>();
+  private final List<CatalogueSnapshot> pendingSnapshots = new ArrayList<>();
   private int sequence;
 
   CatalogueHistory(long seed, int steps) {
     this.random = new Random(seed);
     for (int operator = 0; operator < OPERATORS; operator++) {
-      seen.add(fold());
+      operatorFolds.add(fold());
     }
     for (int step = 0; step < steps; step++) {
       step(random.nextInt(OPERATORS));
@@ -49,17 +52,17 @@
   }
 
   private void step(int operator) {
-    CatalogueFold fold = seen.get(operator);
+    CatalogueFold fold = operatorFolds.get(operator);
     if (random.nextBoolean()) {
       while (fold.nextOffset() < stream.size()) {
         fold.apply(stream.get((int) fold.nextOffset()));
       }
     }
     switch (random.nextInt(6)) {
-      case 0 -> held.addAll(held.isEmpty() ? fold.snapshot() : List.of());
+      case 0 -> pendingSnapshots.addAll(pendingSnapshots.isEmpty() ? fold.snapshot() : List.of());
       case 1 -> {
-        held.forEach(this::append);
-        held.clear();
+        pendingSnapshots.forEach(this::append);
+        pendingSnapshots.clear();
       }
       case 2 -> resend();
       default -> append(edit(operator, fold));
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/catalogue/support/ReferenceCatalogue.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/catalogue/support/ReferenceCatalogue.java
@@ -14,14 +14,17 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** Naive twins of the catalogue fold, for edits of workspaces. */
-final class NaiveCatalogue {
+/** Reference implementations of the catalogue fold, for edits of workspaces. */
+final class ReferenceCatalogue {
 
   private static final CatalogueChecker CHECKER = new DefaultCatalogueChecker();
 
-  private NaiveCatalogue() {}
+  private ReferenceCatalogue() {}
 
-  /** Replays everything with the rules of validity. */
+  /**
+   * Replays the whole stream and accepts an edit only if it is valid and based on the revision in
+   * force.
+   */
   static Catalogue replay(List<LogRecord> stream) {
     Catalogue catalogue = Catalogue.EMPTY;
     Set<RecordId> seen = new HashSet<>();
@@ -36,7 +39,7 @@
     return catalogue;
   }
 
-  /** Applies each edit as it comes, whatever revision it rests on. */
+  /** Applies each edit in order, whatever revision it is based on. */
   static Catalogue lastEditWins(List<LogRecord> stream) {
     Catalogue catalogue = Catalogue.EMPTY;
     for (LogRecord entry : stream) {
@@ -47,7 +50,7 @@
     return catalogue;
   }
 
-  /** Takes each snapshot as the state at its place. */
+  /** Installs each snapshot as the state at its position in the stream. */
   static Catalogue withEverySnapshot(List<LogRecord> stream) {
     Catalogue catalogue = Catalogue.EMPTY;
     for (LogRecord entry : stream) {
