--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/policy/Backlog.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/policy/Backlog.java
@@ -13,7 +13,10 @@
 import java.util.Optional;
 import java.util.Random;
 
-/** Coordinators of batch jobs: an endless job, and one that is due, if the scenario has it. */
+/**
+ * Simulates the coordinators of batch jobs: an endless job and, if the scenario has one, a job with
+ * a due time.
+ */
 final class Backlog {
 
   static final int PREFIX_TOKENS = 600;
@@ -28,22 +31,22 @@
   private final Deque<BatchItem> returned = new ArrayDeque<>();
   private final Instant due;
   private final int dueItems;
-  private int dueGiven;
+  private int dueDispatched;
   private int dueDone;
-  private int given;
+  private int dispatched;
 
   Backlog(Scenario scenario, boolean inOrder, long seed) {
     this.inOrder = inOrder;
     this.random = new Random(seed);
-    this.dueItems = scenario.rosterItems();
+    this.dueItems = scenario.dueJobItems();
     this.due = Instant.EPOCH.plusSeconds(Scenario.WARM_UP + scenario.seconds());
   }
 
   List<BatchItem> take(int count, Instant now) {
     List<BatchItem> items = new ArrayList<>();
     while (items.size() < count) {
-      BatchItem back = returned.poll();
-      items.add(back == null ? next(now) : back);
+      BatchItem returnedItem = returned.poll();
+      items.add(returnedItem == null ? next(now) : returnedItem);
     }
     return items;
   }
@@ -61,20 +64,20 @@
   }
 
   private BatchItem next(Instant now) {
-    given++;
-    // The naive twin takes jobs in order of acceptance; the endless one came first.
-    boolean turn = !inOrder && (given % 2 == 0 || dueIsUrgent(now));
-    if (turn && dueGiven < dueItems) {
-      return item(DUE, dueGiven++, due, dueItems - dueDone);
+    dispatched++;
+    // In order of acceptance, as in the baseline, the endless job always comes first.
+    boolean dueJobFirst = !inOrder && (dispatched % 2 == 0 || dueIsUrgent(now));
+    if (dueJobFirst && dueDispatched < dueItems) {
+      return item(DUE, dueDispatched++, due, dueItems - dueDone);
     }
-    return item(ENDLESS, given, Instant.EPOCH.plusSeconds(8 * 3600), 100_000);
+    return item(ENDLESS, dispatched, Instant.EPOCH.plusSeconds(8 * 3600), 100_000);
   }
 
   private boolean dueIsUrgent(Instant now) {
     double seconds = Math.max(1, now.toEpochMilli() / 1e3);
-    double pace = Math.max(1e-3, dueDone / seconds);
-    Duration perItem = Duration.ofMillis((long) (1e3 / pace));
-    BatchItem head = item(DUE, dueGiven, due, Math.max(1, dueItems - dueDone));
+    double itemsPerSecond = Math.max(1e-3, dueDone / seconds);
+    Duration perItem = Duration.ofMillis((long) (1e3 / itemsPerSecond));
+    BatchItem head = item(DUE, dueDispatched, due, Math.max(1, dueItems - dueDone));
     return ItemOrder.urgent(head, perItem, now);
   }
 
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/policy/EventQueue.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/policy/EventQueue.java
@@ -4,7 +4,7 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** Virtual time and what happens in it, in order. */
+/** Runs scheduled events in order, in virtual time. */
 final class EventQueue {
 
   private record Event(long at, long number, Runnable action) {}
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/policy/FakeEngine.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/policy/FakeEngine.java
@@ -13,10 +13,13 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Engine that batches continuously, admits as requests arrive and knows no priorities. */
+/**
+ * Simulated engine with continuous batching, which admits requests in order of arrival and has no
+ * priorities.
+ */
 final class FakeEngine {
 
-  private static final int PROGRESS_EVERY = 16;
+  private static final int PROGRESS_INTERVAL_TOKENS = 16;
   private static final long COLD_MICROS = 10_000_000;
   private static final long COLD_FACTOR = 3;
 
@@ -31,7 +34,7 @@
   private final Deque<FakeTask> waiting = new ArrayDeque<>();
   private final List<FakeTask> running = new ArrayList<>();
   private final Map<String, Integer> cache = new LinkedHashMap<>(16, 0.75f, true);
-  private final Set<String> early = new HashSet<>();
+  private final Set<String> cancelledBeforeArrival = new HashSet<>();
   private long coldUntil;
   private int cached;
   private boolean stepping;
@@ -77,33 +80,33 @@
         return;
       }
     }
-    early.add(taskId);
+    cancelledBeforeArrival.add(taskId);
   }
 
-  /** Returns whether a task was cancelled before it came. */
+  /** Returns whether a task was cancelled before it arrived. */
   boolean cancelledEarly(String taskId) {
-    return early.remove(taskId);
+    return cancelledBeforeArrival.remove(taskId);
   }
 
   void crash() {
     down = true;
-    List<FakeTask> lost = new ArrayList<>(running);
-    lost.addAll(waiting);
+    List<FakeTask> aborted = new ArrayList<>(running);
+    aborted.addAll(waiting);
     running.clear();
     waiting.clear();
     cache.clear();
     cached = 0;
-    lost.forEach(task -> task.listener.crashed());
+    aborted.forEach(task -> task.listener.crashed());
   }
 
-  /** Comes back; its first seconds are slow, as after any start of an engine. */
+  /** Restarts the engine; as after any start, its first seconds are slow. */
   void recover() {
     down = false;
     coldUntil = events.micros() + COLD_MICROS;
   }
 
   void importCache(String key, int tokens) {
-    remember(key, tokens);
+    putInCache(key, tokens);
   }
 
   LoadReport load() {
@@ -119,10 +122,10 @@
     int decoding = 0;
     int chunk = model.chunk();
     for (FakeTask task : running) {
-      int taken = Math.min(chunk, task.prefillLeft);
+      int processed = Math.min(chunk, task.prefillLeft);
       decoding += task.prefillLeft == 0 ? 1 : 0;
-      task.prefillLeft -= taken;
-      chunk -= taken;
+      task.prefillLeft -= processed;
+      chunk -= processed;
     }
     double prefill = (model.chunk() - chunk) * model.prefillMicros();
     long micros = (long) (model.baseMicros() + decoding * model.slotMicros() + prefill);
@@ -130,28 +133,28 @@
   }
 
   private void stepped() {
-    List<FakeTask> over = new ArrayList<>();
+    List<FakeTask> finished = new ArrayList<>();
     for (FakeTask task : List.copyOf(running)) {
       if (task.prefillLeft == 0 && !task.cancelled) {
         task.generated++;
         onlineCostMicros += task.batch ? 0 : model.microsPerToken();
-        if (task.generated == 1 || (task.batch && task.generated % PROGRESS_EVERY == 0)) {
+        if (task.generated == 1 || (task.batch && task.generated % PROGRESS_INTERVAL_TOKENS == 0)) {
           task.listener.first();
         }
       }
-      if (task.over()) {
-        over.add(task);
+      if (task.finished()) {
+        finished.add(task);
       }
     }
-    running.removeAll(over);
-    over.forEach(this::ended);
+    running.removeAll(finished);
+    finished.forEach(this::ended);
     step();
   }
 
   private void ended(FakeTask task) {
-    remember(task.prefix, task.prefixTokens);
+    putInCache(task.prefix, task.prefixTokens);
     if (task.cancelled) {
-      remember(task.id, task.promptTokens + task.generated);
+      putInCache(task.id, task.promptTokens + task.generated);
       task.listener.cancelled(task.generated);
     } else {
       task.listener.done();
@@ -161,28 +164,29 @@
   private void admit() {
     while (running.size() < model.slots() && !waiting.isEmpty()) {
       FakeTask task = waiting.poll();
-      int known = Math.max(known(task.prefix, task.prefixTokens), known(task.id, 1 << 20));
-      task.prefillLeft = Math.max(1, task.promptTokens + task.generated - known);
+      int cachedTokens =
+          Math.max(cachedTokens(task.prefix, task.prefixTokens), cachedTokens(task.id, 1 << 20));
+      task.prefillLeft = Math.max(1, task.promptTokens + task.generated - cachedTokens);
       onlineCostMicros += task.batch ? 0 : task.prefillLeft * model.prefillMicros();
       running.add(task);
-      noteWait(task);
+      recordWait(task);
     }
   }
 
-  private void noteWait(FakeTask task) {
+  private void recordWait(FakeTask task) {
     long waited = events.micros() - task.arrivedAt;
     if (!task.batch && model.slots() > 0) {
       boolean besideBatch = running.stream().anyMatch(other -> other.batch);
-      result.waited(waited, besideBatch);
+      result.recordWait(waited, besideBatch);
     }
   }
 
-  private int known(String key, int most) {
+  private int cachedTokens(String key, int limit) {
     Integer tokens = cache.get(key);
-    return tokens == null ? 0 : Math.min(tokens, most);
+    return tokens == null ? 0 : Math.min(tokens, limit);
   }
 
-  private void remember(String key, int tokens) {
+  private void putInCache(String key, int tokens) {
     Integer before = cache.put(key, tokens);
     cached += tokens - (before == null ? 0 : before);
     while (cached > model.cacheTokens() && !cache.isEmpty()) {
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/policy/FakeTask.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/policy/FakeTask.java
@@ -1,6 +1,6 @@
 package io.hawthornlb.core.policy;
 
-/** One request as a fake engine sees it. */
+/** One request at a simulated engine. */
 final class FakeTask {
 
   interface Listener {
@@ -43,7 +43,7 @@
     this.listener = listener;
   }
 
-  boolean over() {
+  boolean finished() {
     return cancelled || generated >= outputTokens;
   }
 }
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/policy/Fleet.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/policy/Fleet.java
@@ -9,15 +9,15 @@
 import java.util.Map;
 
 /**
- * Sizes of one example fleet.
+ * Sizes of an example fleet.
  *
- * @param name its name in reports
- * @param dataCentres where entries and endpoints run, in turn
- * @param engineService name of the service of its model engines
- * @param engines how many engines
- * @param plainService name of its plain service
- * @param plainEndpoints how many endpoints of it
- * @param farMicros one way between data centres
+ * @param name name of the fleet in reports
+ * @param dataCentres data centres, to which entry instances and endpoints are assigned in turn
+ * @param engineService name of the service of the model engines
+ * @param engines number of engines
+ * @param plainService name of the plain service
+ * @param plainEndpoints number of endpoints of the plain service
+ * @param farMicros one-way latency between data centres, in microseconds
  * @param batchWeight weight of batch throughput in the catalogue
  */
 record Fleet(
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/policy/FleetRun.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/policy/FleetRun.java
@@ -30,12 +30,15 @@
 import java.util.Random;
 import java.util.function.Consumer;
 
-/** One seeded run of 13 entries before fake engines, in virtual time. */
+/**
+ * Simulates, in virtual time and from a seed, 13 entry instances that send requests to simulated
+ * engines.
+ */
 final class FleetRun {
 
-  private static final long REPORT_EVERY = 500_000;
-  private static final long DIGEST_EVERY = 100_000;
-  private static final long TICK_EVERY = 50_000;
+  private static final long REPORT_MICROS = 500_000;
+  private static final long DIGEST_MICROS = 100_000;
+  private static final long TICK_MICROS = 50_000;
   private static final long PULL_MICROS = 3_000;
   private static final long FAULT_SECONDS = 20;
 
@@ -47,7 +50,7 @@
   final Random random;
   final List<SimEntry> entries = new ArrayList<>();
   final Map<EndpointId, FakeEngine> engines = new LinkedHashMap<>();
-  final Map<EndpointId, SimEntry> stewards = new HashMap<>();
+  final Map<EndpointId, SimEntry> dispatchers = new HashMap<>();
   private final Backlog backlog;
 
   private FleetRun(Fleet fleet, Scenario scenario, PolicySet policy, long seed) {
@@ -55,7 +58,7 @@
     this.scenario = scenario;
     this.policy = policy;
     this.random = new Random(seed);
-    this.backlog = new Backlog(scenario, policy.naive(), seed);
+    this.backlog = new Backlog(scenario, policy.baseline(), seed);
     addEngines(fleet.engineService(), fleet.engines(), EngineModel.SMALL);
     addEngines(fleet.plainService(), fleet.plainEndpoints(), EngineModel.PLAIN);
     for (int i = 0; i < Fleet.ENTRIES; i++) {
@@ -76,14 +79,14 @@
     return events.micros() >= 1_000_000L * Scenario.WARM_UP;
   }
 
-  boolean cut(DataCentre from, DataCentre to) {
-    DataCentre alone = fleet.centre(0);
-    long from0 = 1_000_000L * (Scenario.WARM_UP + scenario.cutAt());
-    boolean now =
+  boolean cutOff(DataCentre from, DataCentre to) {
+    DataCentre isolated = fleet.centre(0);
+    long cutStart = 1_000_000L * (Scenario.WARM_UP + scenario.cutAt());
+    boolean cutNow =
         scenario.cutAt() > 0
-            && events.micros() >= from0
-            && events.micros() < from0 + FAULT_SECONDS * 1_000_000L;
-    return now && from.equals(alone) != to.equals(alone);
+            && events.micros() >= cutStart
+            && events.micros() < cutStart + FAULT_SECONDS * 1_000_000L;
+    return cutNow && from.equals(isolated) != to.equals(isolated);
   }
 
   void toPeers(SimEntry from, Consumer<SimEntry> action) {
@@ -95,7 +98,7 @@
   }
 
   void toPeer(SimEntry from, SimEntry to, Consumer<SimEntry> action) {
-    if (!cut(from.dataCentre, to.dataCentre)) {
+    if (!cutOff(from.dataCentre, to.dataCentre)) {
       long latency = from == to ? 0 : fleet.latency(from.dataCentre, to.dataCentre);
       events.after(latency, () -> action.accept(to));
     }
@@ -123,16 +126,16 @@
         entry.admission.onCapacity(engine.service, slots, events.now());
       }
     }
-    electStewards();
-    events.every(REPORT_EVERY, this::report);
-    events.every(DIGEST_EVERY, this::digest);
-    events.every(TICK_EVERY, this::tick);
+    electDispatchers();
+    events.every(REPORT_MICROS, this::report);
+    events.every(DIGEST_MICROS, this::digest);
+    events.every(TICK_MICROS, this::tick);
     events.after(1_000_000L * Scenario.WARM_UP, this::resetCosts);
     if (scenario.crashAt() > 0) {
-      FakeEngine victim = engines.values().iterator().next();
+      FakeEngine crashing = engines.values().iterator().next();
       long at = 1_000_000L * (Scenario.WARM_UP + scenario.crashAt());
-      events.after(at, victim::crash);
-      events.after(at + FAULT_SECONDS * 1_000_000L, victim::recover);
+      events.after(at, crashing::crash);
+      events.after(at + FAULT_SECONDS * 1_000_000L, crashing::recover);
     }
     if (scenario.addAt() > 0) {
       long at = 1_000_000L * (Scenario.WARM_UP + scenario.addAt());
@@ -146,7 +149,7 @@
     entries.forEach(entry -> entry.table.onList(all, events.now(), events.now()));
   }
 
-  private void electStewards() {
+  private void electDispatchers() {
     for (FakeEngine engine : engines.values()) {
       List<InstanceId> near = new ArrayList<>();
       for (SimEntry entry : entries) {
@@ -156,24 +159,24 @@
       }
       InstanceId steward = new RendezvousElection().steward(engine.id, near).orElseThrow();
       SimEntry entry = entries.stream().filter(e -> e.id.equals(steward)).findAny().orElseThrow();
-      stewards.put(engine.id, entry);
+      dispatchers.put(engine.id, entry);
       if (policy.batch() && engine.model == EngineModel.SMALL) {
-        entry.takeSteward(engine, fleet.batchWeight());
-        carryOut(entry, engine, entry.stewards.get(engine.id).onTick(events.now()));
+        entry.addDispatcher(engine, fleet.batchWeight());
+        perform(entry, engine, entry.dispatchers.get(engine.id).onTick(events.now()));
       }
     }
   }
 
   void online(SimEntry from, EndpointId endpoint) {
-    SimEntry steward = stewards.get(endpoint);
+    SimEntry steward = dispatchers.get(endpoint);
     int count = from.inFlight.own(endpoint);
     toPeer(
         from,
         steward,
         to -> {
-          Steward decider = to.stewards.get(endpoint);
-          if (decider != null) {
-            carryOut(to, engines.get(endpoint), decider.onOnline(from.id, count, events.now()));
+          Steward target = to.dispatchers.get(endpoint);
+          if (target != null) {
+            perform(to, engines.get(endpoint), target.onOnline(from.id, count, events.now()));
           }
         });
   }
@@ -193,10 +196,10 @@
     result.onlineRefused += measured() ? 1 : 0;
   }
 
-  private void carryOut(SimEntry entry, FakeEngine engine, List<Effect> effects) {
+  private void perform(SimEntry entry, FakeEngine engine, List<Effect> effects) {
     for (Effect effect : effects) {
       if (effect instanceof PullItems pull) {
-        events.after(PULL_MICROS, () -> give(entry, engine, pull.count()));
+        events.after(PULL_MICROS, () -> deliverItems(entry, engine, pull.count()));
       } else if (effect instanceof StartItem start) {
         long move = start.moveFrom().isPresent() ? 20_000 + 10L * start.item().contextTokens() : 0;
         if (move > 0) {
@@ -208,27 +211,27 @@
         result.preempted++;
         String id = cancel.item().toString();
         events.after(Fleet.NEAR_MICROS, () -> engine.cancel(id));
-      } else if (effect instanceof ReturnItems back) {
-        backlog.putBack(back.items());
+      } else if (effect instanceof ReturnItems returned) {
+        backlog.putBack(returned.items());
       }
     }
   }
 
-  private void give(SimEntry entry, FakeEngine engine, int count) {
+  private void deliverItems(SimEntry entry, FakeEngine engine, int count) {
     List<BatchItem> items = backlog.take(count, events.now());
-    carryOut(entry, engine, entry.stewards.get(engine.id).onItems(items, events.now()));
+    perform(entry, engine, entry.dispatchers.get(engine.id).onItems(items, events.now()));
   }
 
   private void submit(SimEntry entry, FakeEngine engine, BatchItem item) {
     result.batchStarts++;
-    Steward steward = entry.stewards.get(engine.id);
+    Steward steward = entry.dispatchers.get(engine.id);
     FakeTask[] task = new FakeTask[1];
     FakeTask.Listener listener =
         new FakeTask.Listener() {
           @Override
           public void first() {
             int generated = task[0].generated;
-            carryOut(entry, engine, steward.onProgress(item.ref(), generated, events.now()));
+            perform(entry, engine, steward.onProgress(item.ref(), generated, events.now()));
           }
 
           @Override
@@ -258,7 +261,7 @@
           }
 
           private void end(BatchOutcome outcome, int generated) {
-            carryOut(entry, engine, steward.onEnded(item.ref(), outcome, generated, events.now()));
+            perform(entry, engine, steward.onEnded(item.ref(), outcome, generated, events.now()));
           }
         };
     String prefix = "batch-" + item.ref().job();
@@ -289,16 +292,16 @@
   }
 
   private void reported(FakeEngine engine, LoadReport report) {
-    SimEntry entry = stewards.get(engine.id);
-    Steward steward = entry.stewards.get(engine.id);
-    LoadReport complete = report;
+    SimEntry entry = dispatchers.get(engine.id);
+    Steward steward = entry.dispatchers.get(engine.id);
+    LoadReport fullReport = report;
     if (steward != null) {
-      complete = report.withBatch(steward.batchAt(report.asOf()));
-      carryOut(entry, engine, steward.onLoad(report, events.now()));
+      fullReport = report.withBatch(steward.batchAt(report.asOf()));
+      perform(entry, engine, steward.onLoad(report, events.now()));
     }
-    LoadReport told = complete;
-    entry.table.onLoad(engine.id, told, events.now());
-    toPeers(entry, peer -> peer.table.onLoad(engine.id, told, events.now()));
+    LoadReport spreadReport = fullReport;
+    entry.table.onLoad(engine.id, spreadReport, events.now());
+    toPeers(entry, peer -> peer.table.onLoad(engine.id, spreadReport, events.now()));
   }
 
   private void digest() {
@@ -315,8 +318,8 @@
   private void tick() {
     probe();
     for (SimEntry entry : entries) {
-      entry.stewards.forEach(
-          (id, steward) -> carryOut(entry, engines.get(id), steward.onTick(events.now())));
+      entry.dispatchers.forEach(
+          (id, steward) -> perform(entry, engines.get(id), steward.onTick(events.now())));
       admit(entry, entry.admission.onTick(events.now()));
     }
   }
@@ -349,10 +352,10 @@
   private void probe() {
     for (SimEntry entry : entries) {
       for (Endpoint endpoint : entry.table.probesDue(events.now())) {
-        boolean well =
-            !engines.get(endpoint.id()).down && !cut(entry.dataCentre, endpoint.dataCentre());
+        boolean reachable =
+            !engines.get(endpoint.id()).down && !cutOff(entry.dataCentre, endpoint.dataCentre());
         entry.table.onObservation(
-            endpoint.id(), well ? Observation.HEALTHY : Observation.FAILURE, events.now());
+            endpoint.id(), reachable ? Observation.HEALTHY : Observation.FAILURE, events.now());
       }
     }
   }
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/policy/OnlineLoad.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/policy/OnlineLoad.java
@@ -24,22 +24,25 @@
 import java.util.Random;
 import java.util.Set;
 
-/** Online requests of a run: they arrive at random entries, and their times are measured there. */
+/**
+ * Generates the online requests of a simulation. They arrive at random entry instances, where their
+ * latency is measured.
+ */
 final class OnlineLoad {
 
   private static final int PREFIXES = 30;
   private static final int PREFIX_TOKENS = 500;
   private static final int OWN_TOKENS = 150;
-  private static final int LEAST_OUTPUT = 40;
+  private static final int MIN_OUTPUT = 40;
   private static final int MEAN_EXTRA = 60;
-  private static final int MOST_OUTPUT = 400;
+  private static final int MAX_OUTPUT = 400;
   private static final int WORKSPACES = 20;
   private static final double PLAIN_PER_SECOND = 50;
   private static final long CONNECT_TIMEOUT = 100_000;
 
   private final FleetRun run;
   private final Random random;
-  private final double perSecondAtFull;
+  private final double perSecondAtFullLoad;
   private int numbers;
 
   OnlineLoad(FleetRun run) {
@@ -47,20 +50,21 @@
     this.random = new Random(run.random.nextLong());
     EngineModel model = EngineModel.SMALL;
     double micros =
-        (LEAST_OUTPUT + MEAN_EXTRA) * model.microsPerToken() + OWN_TOKENS * model.prefillMicros();
-    this.perSecondAtFull = run.fleet.engines() * 1e6 / micros;
+        (MIN_OUTPUT + MEAN_EXTRA) * model.microsPerToken() + OWN_TOKENS * model.prefillMicros();
+    this.perSecondAtFullLoad = run.fleet.engines() * 1e6 / micros;
   }
 
   void begin() {
     nextEngineCall();
     nextPlainCall();
-    if (run.scenario.deskEvery() > 0) {
-      run.events.every(run.scenario.deskEvery() * 1_000_000L, this::desk);
+    if (run.scenario.bulkEverySeconds() > 0) {
+      run.events.every(run.scenario.bulkEverySeconds() * 1_000_000L, this::bulkBurst);
     }
   }
 
   private void nextEngineCall() {
-    double rate = perSecondAtFull * run.scenario.load().applyAsDouble(run.events.micros() / 1e6);
+    double rate =
+        perSecondAtFullLoad * run.scenario.load().applyAsDouble(run.events.micros() / 1e6);
     run.events.after(
         exponential(rate),
         () -> {
@@ -78,9 +82,9 @@
         });
   }
 
-  private void desk() {
+  private void bulkBurst() {
     SimEntry entry = pick();
-    for (int i = 0; i < run.scenario.deskSize(); i++) {
+    for (int i = 0; i < run.scenario.bulkBurstSize(); i++) {
       arrive(RequestClass.BULK, "buyer", i % 4 == 0 ? pick() : entry);
     }
   }
@@ -97,7 +101,7 @@
     return (long) (-Math.log(1 - random.nextDouble()) / perSecond * 1e6);
   }
 
-  /** One request of a caller, through its attempts. */
+  /** One request of a caller, with all its attempts. */
   private final class Call implements FakeTask.Listener {
 
     private final RequestId id = new RequestId("r-" + numbers++);
@@ -124,7 +128,7 @@
       double skew = random.nextDouble();
       this.prefix = "p-" + (int) (skew * skew * PREFIXES);
       int extra = (int) (-Math.log(1 - random.nextDouble()) * MEAN_EXTRA);
-      this.output = plain ? 1 : Math.min(MOST_OUTPUT, LEAST_OUTPUT + extra);
+      this.output = plain ? 1 : Math.min(MAX_OUTPUT, MIN_OUTPUT + extra);
       int seconds = requestClass == RequestClass.BULK ? 120 : 30;
       this.deadline = run.events.now().plusSeconds(seconds);
     }
@@ -158,7 +162,7 @@
       Either<Refusal, Route> route = entry.router.choose(request, run.events.now());
       if (route.isLeft()) {
         run.refused();
-        leave();
+        finish();
         return;
       }
       endpoint = route.get().endpoint();
@@ -168,7 +172,7 @@
         entry.prefixes.onRouted(endpoint, List.of(prefix), run.events.now());
       }
       run.online(entry, endpoint);
-      if (run.cut(entry.dataCentre, engine.dataCentre)) {
+      if (run.cutOff(entry.dataCentre, engine.dataCentre)) {
         run.events.after(CONNECT_TIMEOUT, () -> fail(Observation.FAILURE));
         return;
       }
@@ -195,14 +199,14 @@
       run.events.after(
           latency(engine),
           () -> {
-            if (run.cut(entry.dataCentre, engine.dataCentre)) {
+            if (run.cutOff(entry.dataCentre, engine.dataCentre)) {
               fail(Observation.SILENT);
               return;
             }
-            note(entry.table.onObservation(endpoint, Observation.SUCCESS, run.events.now()));
+            spread(entry.table.onObservation(endpoint, Observation.SUCCESS, run.events.now()));
             measure();
             release();
-            leave();
+            finish();
           });
     }
 
@@ -217,7 +221,7 @@
     }
 
     private void fail(Observation observation) {
-      note(entry.table.onObservation(endpoint, observation, run.events.now()));
+      spread(entry.table.onObservation(endpoint, observation, run.events.now()));
       failed.add(endpoint);
       release();
       FailedAttempt failure =
@@ -235,13 +239,13 @@
         return;
       }
       run.result.onlineFailed += run.measured() ? 1 : 0;
-      leave();
+      finish();
     }
 
-    private void note(List<Effect> effects) {
+    private void spread(List<Effect> effects) {
       for (Effect effect : effects) {
-        if (effect instanceof SpreadPeerMessage spread
-            && spread.message() instanceof EndpointNotice notice) {
+        if (effect instanceof SpreadPeerMessage spreadEffect
+            && spreadEffect.message() instanceof EndpointNotice notice) {
           run.toPeers(entry, peer -> peer.table.onNotice(notice, run.events.now()));
         }
       }
@@ -265,7 +269,7 @@
       run.online(entry, endpoint);
     }
 
-    private void leave() {
+    private void finish() {
       run.admit(entry, entry.admission.onFinished(id, run.events.now()));
     }
 
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/policy/PolicyMeasurement.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/policy/PolicyMeasurement.java
@@ -21,11 +21,12 @@
     String what = arguments.length > 2 ? arguments[2] : "scenarios";
     for (Fleet fleet : List.of(Fleet.VATUWAQA, Fleet.AL_HARTHY)) {
       List<PolicySet> policies = policies(what);
-      chosen(fleet, seconds, what).forEach(scenario -> table(fleet, scenario, policies, seed));
+      selectScenarios(fleet, seconds, what)
+          .forEach(scenario -> table(fleet, scenario, policies, seed));
     }
   }
 
-  private static List<Scenario> chosen(Fleet fleet, int seconds, String what) {
+  private static List<Scenario> selectScenarios(Fleet fleet, int seconds, String what) {
     return switch (what) {
       case "terms" -> loaded(seconds);
       case "added" -> List.of(Scenario.engineAdded(seconds));
@@ -43,10 +44,10 @@
         Scenario.steady(0.4, 1_000_000, seconds),
         Scenario.steady(0.4, 5_000_000, seconds),
         Scenario.burst(seconds),
-        Scenario.desks(fleet.engines() * 8, seconds),
-        Scenario.roster(fleet.engines() * seconds, seconds),
+        Scenario.bulkBursts(fleet.engines() * 8, seconds),
+        Scenario.dueJob(fleet.engines() * seconds, seconds),
         Scenario.engineLost(seconds),
-        Scenario.centreCut(seconds),
+        Scenario.centreCutOff(seconds),
         Scenario.overload(Math.min(seconds, 120)));
   }
 
@@ -55,7 +56,7 @@
         Scenario.steady(0.7, 1_000_000, seconds),
         Scenario.engineLost(seconds),
         Scenario.engineAdded(seconds),
-        Scenario.centreCut(seconds));
+        Scenario.centreCutOff(seconds));
   }
 
   private static List<PolicySet> policies(String what) {
@@ -68,27 +69,27 @@
 
   private static List<PolicySet> weights() {
     List<PolicySet> policies = new ArrayList<>();
-    policies.add(PolicySet.guarded(false));
+    policies.add(PolicySet.standard(false));
     for (double weight : new double[] {0, 0.1, 0.2, 0.3, 0.4, 0.5, 1}) {
-      policies.add(PolicySet.guarded(true).withWeight(weight));
+      policies.add(PolicySet.standard(true).withWeight(weight));
     }
     return policies;
   }
 
   private static List<PolicySet> compared(String what) {
     List<PolicySet> policies = new ArrayList<>();
-    policies.add(PolicySet.guarded(false));
-    policies.add(PolicySet.guarded(true));
+    policies.add(PolicySet.standard(false));
+    policies.add(PolicySet.standard(true));
     if (!what.equals("batch")) {
-      policies.add(PolicySet.naive(false));
-      policies.add(PolicySet.naive(true));
+      policies.add(PolicySet.baseline(false));
+      policies.add(PolicySet.baseline(true));
     }
     return policies;
   }
 
   private static List<PolicySet> withoutEach() {
     List<PolicySet> policies = new ArrayList<>();
-    policies.add(PolicySet.guarded(true));
+    policies.add(PolicySet.standard(true));
     for (RouterTerm term : RouterTerm.values()) {
       policies.add(PolicySet.without(term));
     }
@@ -114,7 +115,7 @@
             + " %d | %d | %d | %d |",
         policy.name(),
         r.batchPerSecond(),
-        100 * r.partOfBound(),
+        100 * r.fractionOfBound(),
         r.answerMillis(0.5),
         r.answerMillis(0.95),
         r.answerMillis(0.99),
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/policy/PolicyScenarioTest.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/policy/PolicyScenarioTest.java
@@ -6,7 +6,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Short seeded runs in virtual time, with the aims that hold for every seed. */
+/**
+ * Short simulations in virtual time, with seeds, that check objectives which hold for every seed.
+ */
 class PolicyScenarioTest {
 
   private static final int SECONDS = 40;
@@ -16,70 +18,71 @@
     return new Fleet[] {Fleet.VATUWAQA, Fleet.AL_HARTHY};
   }
 
-  // A store hand waits seconds for the first word: batch items hold all slots of the engine, and
-  // the engine knows no priorities.
+  // Guards against online requests that wait seconds for their first token: batch items hold all
+  // slots of the engine, and the engine has no priorities.
   @ParameterizedTest
   @MethodSource("fleets")
   void noOnlineRequestWaitsBehindBatchWork(Fleet fleet) {
-    RunResult naive = run(fleet, Scenario.burst(SECONDS), PolicySet.naive(true));
-    RunResult guarded = run(fleet, Scenario.burst(SECONDS), PolicySet.guarded(true));
-    assertTrue(naive.behindBatch > 100, "the naive twin");
-    assertEquals(0, guarded.behindBatch);
-    assertTrue(guarded.longestWaitMicros <= 50_000, () -> "µs " + guarded.longestWaitMicros);
+    RunResult baseline = run(fleet, Scenario.burst(SECONDS), PolicySet.baseline(true));
+    RunResult standard = run(fleet, Scenario.burst(SECONDS), PolicySet.standard(true));
+    assertTrue(baseline.behindBatch > 100, "the baseline");
+    assertEquals(0, standard.behindBatch);
+    assertTrue(standard.longestWaitMicros <= 50_000, () -> "µs " + standard.longestWaitMicros);
   }
 
   @ParameterizedTest
   @MethodSource("fleets")
-  void batchUsesWhatOnlineLeavesWithinItsWeight(Fleet fleet) {
+  void batchUsesTheSlotsThatOnlineRequestsLeaveAccordingToItsWeight(Fleet fleet) {
     Scenario scenario = Scenario.steady(0.4, Scenario.DEFAULT_LAG, SECONDS);
-    PolicySet throughput = PolicySet.guarded(true).withWeight(1);
-    assertTrue(run(fleet, scenario, throughput).partOfBound() >= 0.95);
-    RunResult alone = run(fleet, scenario, PolicySet.guarded(false));
-    RunResult careful = run(fleet, scenario, PolicySet.guarded(true).withWeight(0));
-    RunResult naive = run(fleet, scenario, PolicySet.naive(true));
-    assertTrue(careful.answerMillis(0.99) <= 1.06 * alone.answerMillis(0.99));
-    assertTrue(run(fleet, scenario, throughput).answerMillis(0.99) < naive.answerMillis(0.99));
+    PolicySet throughput = PolicySet.standard(true).withWeight(1);
+    assertTrue(run(fleet, scenario, throughput).fractionOfBound() >= 0.95);
+    RunResult onlineOnly = run(fleet, scenario, PolicySet.standard(false));
+    RunResult latencyFirst = run(fleet, scenario, PolicySet.standard(true).withWeight(0));
+    RunResult baseline = run(fleet, scenario, PolicySet.baseline(true));
+    assertTrue(latencyFirst.answerMillis(0.99) <= 1.06 * onlineOnly.answerMillis(0.99));
+    assertTrue(run(fleet, scenario, throughput).answerMillis(0.99) < baseline.answerMillis(0.99));
   }
 
-  // No answer comes at all when ten times the load comes: all requests are taken, they wait in one
-  // queue, and each that is served has been given up by its caller.
+  // Guards against an overload of ten times the capacity in which no caller gets an answer: all
+  // requests are accepted and wait in one queue, and the caller of each served request has already
+  // given up.
   @ParameterizedTest
   @MethodSource("fleets")
-  void tenTimesTheLoadIsRefusedAndAcceptedRequestsKeepTheirTime(Fleet fleet) {
+  void excessLoadIsRefusedAndAcceptedRequestsStayOnTime(Fleet fleet) {
     Scenario scenario = Scenario.overload(SECONDS);
-    RunResult naive = run(fleet, scenario, PolicySet.naive(true));
-    RunResult guarded = run(fleet, scenario, PolicySet.guarded(true));
-    assertEquals(0, naive.onlineDone(), "the naive twin answers no request in time");
-    assertTrue(guarded.onlineRefused > guarded.onlineDone(), "most are refused");
-    assertTrue(guarded.firstMillis(0.99) <= 2_500, () -> "ms " + guarded.firstMillis(0.99));
-    assertTrue(guarded.onlineDone() > fleet.engines() * SECONDS);
+    RunResult baseline = run(fleet, scenario, PolicySet.baseline(true));
+    RunResult standard = run(fleet, scenario, PolicySet.standard(true));
+    assertEquals(0, baseline.onlineDone(), "the baseline answers no request in time");
+    assertTrue(standard.onlineRefused > standard.onlineDone(), "most are refused");
+    assertTrue(standard.firstMillis(0.99) <= 2_500, () -> "ms " + standard.firstMillis(0.99));
+    assertTrue(standard.onlineDone() > fleet.engines() * SECONDS);
   }
 
-  // The crew bus leaves without the notes: an endless job was accepted before the roster's.
+  // Guards against a job that misses its due time because an endless job was accepted before it.
   @ParameterizedTest
   @MethodSource("fleets")
-  void theRosterIsReadyWhenItIsDue(Fleet fleet) {
-    Scenario scenario = Scenario.roster(fleet.engines() * SECONDS, SECONDS);
-    assertTrue(run(fleet, scenario, PolicySet.naive(true)).dueLate > 0, "the naive twin");
-    assertEquals(0, run(fleet, scenario, PolicySet.guarded(true)).dueLate);
+  void theDueJobFinishesInTime(Fleet fleet) {
+    Scenario scenario = Scenario.dueJob(fleet.engines() * SECONDS, SECONDS);
+    assertTrue(run(fleet, scenario, PolicySet.baseline(true)).dueLate > 0, "the baseline");
+    assertEquals(0, run(fleet, scenario, PolicySet.standard(true)).dueLate);
   }
 
-  // Coordinators get errors while one data centre is cut off, although each side has engines.
+  // Guards against errors while one data centre is cut off, although each side has engines.
   @ParameterizedTest
   @MethodSource("fleets")
-  void aCutFailsFewerRequestsThanTheNaiveTwin(Fleet fleet) {
-    Scenario scenario = Scenario.centreCut(SECONDS);
-    RunResult naive = run(fleet, scenario, PolicySet.naive(true));
-    RunResult guarded = run(fleet, scenario, PolicySet.guarded(true));
-    assertTrue(naive.onlineFailed > 50, "the naive twin");
-    assertTrue(guarded.onlineFailed <= 5, () -> "failed " + guarded.onlineFailed);
+  void aNetworkPartitionFailsFewRequestsUnlikeTheBaseline(Fleet fleet) {
+    Scenario scenario = Scenario.centreCutOff(SECONDS);
+    RunResult baseline = run(fleet, scenario, PolicySet.baseline(true));
+    RunResult standard = run(fleet, scenario, PolicySet.standard(true));
+    assertTrue(baseline.onlineFailed > 50, "the baseline");
+    assertTrue(standard.onlineFailed <= 5, () -> "failed " + standard.onlineFailed);
   }
 
   @ParameterizedTest
   @MethodSource("fleets")
   void anEngineLostUnderLoadFailsNoRequest(Fleet fleet) {
     Scenario scenario = Scenario.engineLost(SECONDS);
-    assertEquals(0, run(fleet, scenario, PolicySet.guarded(true)).onlineFailed);
+    assertEquals(0, run(fleet, scenario, PolicySet.standard(true)).onlineFailed);
   }
 
   private static RunResult run(Fleet fleet, Scenario scenario, PolicySet policy) {
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/policy/PolicySet.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/policy/PolicySet.java
@@ -5,24 +5,29 @@
 import java.util.OptionalDouble;
 
 /**
- * Which implementations a run uses.
+ * The implementations that a simulation uses.
  *
- * @param name its name in reports
- * @param naive whether routing, admission, retries and batch are the naive ones
+ * @param name name of the set in reports
+ * @param baseline whether routing, admission, retries and batch work use the baseline
+ *     implementations
  * @param batch whether there is batch work
  * @param router settings of the cost router
- * @param batchWeight weight of batch throughput instead of the fleet's
+ * @param batchWeight weight of batch throughput; empty to use the fleet's weight
  */
 record PolicySet(
-    String name, boolean naive, boolean batch, RouterSettings router, OptionalDouble batchWeight) {
+    String name,
+    boolean baseline,
+    boolean batch,
+    RouterSettings router,
+    OptionalDouble batchWeight) {
 
-  static PolicySet guarded(boolean batch) {
+  static PolicySet standard(boolean batch) {
     String name = batch ? "policy" : "policy, no batch";
     return new PolicySet(
         name, false, batch, RouterSettings.builder().build(), OptionalDouble.empty());
   }
 
-  static PolicySet naive(boolean batch) {
+  static PolicySet baseline(boolean batch) {
     String name = batch ? "naive" : "naive, no batch";
     return new PolicySet(
         name, true, batch, RouterSettings.builder().build(), OptionalDouble.empty());
@@ -34,6 +39,6 @@
   }
 
   PolicySet withWeight(double weight) {
-    return new PolicySet("weight " + weight, naive, batch, router, OptionalDouble.of(weight));
+    return new PolicySet("weight " + weight, baseline, batch, router, OptionalDouble.of(weight));
   }
 }
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/policy/RunResult.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/policy/RunResult.java
@@ -2,7 +2,7 @@
 
 import java.util.Arrays;
 
-/** What one run has measured. */
+/** Measurements of one simulation. */
 final class RunResult {
 
   private static final long PREEMPT_LIMIT_MICROS = 50_000;
@@ -42,8 +42,8 @@
     plain.add(micros);
   }
 
-  /** Notes how long an online request waited inside an engine before it got a slot. */
-  void waited(long micros, boolean besideBatch) {
+  /** Records how long an online request waited inside an engine before it got a slot. */
+  void recordWait(long micros, boolean besideBatch) {
     if (micros > PREEMPT_LIMIT_MICROS) {
       waitedAtEngine++;
       behindBatch += besideBatch ? 1 : 0;
@@ -73,8 +73,8 @@
     return batchWhileMeasured / seconds;
   }
 
-  /** Returns the part of the engine time left by online requests that batch items used. */
-  double partOfBound() {
+  /** Returns the fraction of the engine time left free by online requests that batch items used. */
+  double fractionOfBound() {
     return batchCostMicros / boundCostMicros;
   }
 
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/policy/Scenario.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/policy/Scenario.java
@@ -3,29 +3,30 @@
 import java.util.function.DoubleUnaryOperator;
 
 /**
- * What happens in a run.
+ * The load and the faults of a simulation.
  *
- * @param name its name in reports
- * @param seconds measured time, after the warm-up
- * @param load online load over time in parts of all slots
- * @param deskEvery seconds between bursts of bulk requests; 0 for none
- * @param deskSize requests of each such burst
- * @param lagMicros age of load reports when they arrive
+ * @param name name of the scenario in reports
+ * @param seconds measured time in seconds, after the warm-up
+ * @param load online load over time, as a fraction of the capacity of all slots
+ * @param bulkEverySeconds seconds between bursts of bulk requests; 0 for none
+ * @param bulkBurstSize number of requests in each burst
+ * @param lagMicros age of load reports when they arrive, in microseconds
  * @param crashAt second at which an engine crashes for 20 s; 0 for none
  * @param cutAt second at which one data centre is cut off for 20 s; 0 for none
- * @param rosterItems items of a job that is due at the end; 0 for none
- * @param addAt second at which one more engine is listed, cold; 0 if all are from the start
+ * @param dueJobItems number of items of a job that is due at the end; 0 for none
+ * @param addAt second at which one more engine is added to the list, in a cold state; 0 if all
+ *     engines are listed from the start
  */
 record Scenario(
     String name,
     int seconds,
     DoubleUnaryOperator load,
-    int deskEvery,
-    int deskSize,
+    int bulkEverySeconds,
+    int bulkBurstSize,
     long lagMicros,
     int crashAt,
     int cutAt,
-    int rosterItems,
+    int dueJobItems,
     int addAt) {
 
   static final int WARM_UP = 20;
@@ -42,11 +43,11 @@
         "online burst into full batch", seconds, load, 0, 0, DEFAULT_LAG, 0, 0, 0, 0);
   }
 
-  static Scenario desks(int size, int seconds) {
+  static Scenario bulkBursts(int size, int seconds) {
     return new Scenario("quality desks", seconds, at -> 0.25, 15, size, DEFAULT_LAG, 0, 0, 0, 0);
   }
 
-  static Scenario roster(int items, int seconds) {
+  static Scenario dueJob(int items, int seconds) {
     return new Scenario(
         "night roster with a due time", seconds, at -> 0.1, 0, 0, DEFAULT_LAG, 0, 0, items, 0);
   }
@@ -65,7 +66,7 @@
     return new Scenario("ten times the load", seconds, at -> 4, 0, 0, DEFAULT_LAG, 0, 0, 0, 0);
   }
 
-  static Scenario centreCut(int seconds) {
+  static Scenario centreCutOff(int seconds) {
     return new Scenario(
         "data centre cut", seconds, at -> 0.3, 0, 0, DEFAULT_LAG, 0, seconds / 3, 0, 0);
   }
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/policy/SimEntry.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/policy/SimEntry.java
@@ -35,11 +35,11 @@
 import java.util.Map;
 import java.util.Random;
 
-/** The deciders of one entry instance, put together for a run. */
+/** The policies of one simulated entry instance, assembled for a run. */
 final class SimEntry {
 
-  private static final int NAIVE_LIMIT = 1_000;
-  private static final int NAIVE_ATTEMPTS = 3;
+  private static final int BASELINE_LIMIT = 1_000;
+  private static final int BASELINE_ATTEMPTS = 3;
 
   final InstanceId id;
   final DataCentre dataCentre;
@@ -50,7 +50,7 @@
   final ShareExchange shares;
   final AdmissionController admission;
   final RetryPolicy retries;
-  final Map<EndpointId, Steward> stewards = new HashMap<>();
+  final Map<EndpointId, Steward> dispatchers = new HashMap<>();
   final Map<RequestId, Runnable> queued = new HashMap<>();
   private final PolicySet policy;
 
@@ -60,12 +60,12 @@
     this.policy = policy;
     this.inFlight = new DefaultInFlightTracker(id);
     Random random = new Random(seed);
-    if (policy.naive()) {
+    if (policy.baseline()) {
       this.table = new ListedEndpointTable();
       this.router = new RoundRobinRouter(table);
       this.shares = new EvenShareExchange(id, dataCentre);
-      this.admission = new FifoAdmissionController(NAIVE_LIMIT);
-      this.retries = new SimpleRetryPolicy(NAIVE_ATTEMPTS);
+      this.admission = new FifoAdmissionController(BASELINE_LIMIT);
+      this.retries = new SimpleRetryPolicy(BASELINE_ATTEMPTS);
     } else {
       this.table = new ObservedEndpointTable(EndpointTableSettings.DEFAULT);
       EndpointCost cost = new EndpointCost(inFlight, prefixes, policy.router());
@@ -76,12 +76,12 @@
     }
   }
 
-  void takeSteward(FakeEngine engine, double batchWeight) {
+  void addDispatcher(FakeEngine engine, double batchWeight) {
     int slots = engine.model.slots();
     StewardSettings settings = StewardSettings.of(policy.batchWeight().orElse(batchWeight), slots);
-    stewards.put(
+    dispatchers.put(
         engine.id,
-        policy.naive()
+        policy.baseline()
             ? new EagerSteward(engine.id, engine.service, slots)
             : new HeadroomSteward(engine.id, engine.service, settings));
   }
