--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/batch/BatchPlane.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/batch/BatchPlane.java
@@ -10,11 +10,11 @@
 import io.hawthornlb.app.entry.LogAccess;
 import io.hawthornlb.app.entry.OnlinePolicies;
 import io.hawthornlb.app.partition.PartitionHosts;
+import io.hawthornlb.core.batch.DispatcherSettings;
 import io.hawthornlb.core.batch.ItemRef;
 import io.hawthornlb.core.batch.OnlineNotice;
 import io.hawthornlb.core.batch.PullItems;
-import io.hawthornlb.core.batch.StewardSettings;
-import io.hawthornlb.core.batch.support.HeadroomSteward;
+import io.hawthornlb.core.batch.support.HeadroomDispatcher;
 import io.hawthornlb.core.catalogue.ServiceEntry;
 import io.hawthornlb.core.catalogue.ServiceKind;
 import io.hawthornlb.core.claim.ClaimView;
@@ -179,8 +179,8 @@
     return new StewardHost(
         endpoint.id(),
         endpoint.address(),
-        new HeadroomSteward(
-            endpoint.id(), endpoint.service(), StewardSettings.of(service.batchWeight(), slots)),
+        new HeadroomDispatcher(
+            endpoint.id(), endpoint.service(), DispatcherSettings.of(service.batchWeight(), slots)),
         endpoints,
         mapper,
         loop,
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/batch/StewardHost.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/batch/StewardHost.java
@@ -1,6 +1,7 @@
 package io.hawthornlb.app.batch;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
+import io.hawthornlb.core.batch.BatchDispatcher;
 import io.hawthornlb.core.batch.BatchItem;
 import io.hawthornlb.core.batch.BatchOutcome;
 import io.hawthornlb.core.batch.CancelItem;
@@ -8,7 +9,6 @@
 import io.hawthornlb.core.batch.PullItems;
 import io.hawthornlb.core.batch.ReturnItems;
 import io.hawthornlb.core.batch.StartItem;
-import io.hawthornlb.core.batch.Steward;
 import io.hawthornlb.core.effect.Effect;
 import io.hawthornlb.core.endpoint.LoadReport;
 import io.hawthornlb.core.job.FailureKind;
@@ -33,7 +33,7 @@
 
   private final EndpointId endpoint;
   private final String address;
-  private final Steward steward;
+  private final BatchDispatcher steward;
   private final EndpointClient endpoints;
   private final ObjectMapper mapper;
   private final Executor loop;
@@ -47,7 +47,7 @@
   StewardHost(
       EndpointId endpoint,
       String address,
-      Steward steward,
+      BatchDispatcher steward,
       EndpointClient endpoints,
       ObjectMapper mapper,
       Executor loop,
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/EndpointWatch.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/EndpointWatch.java
@@ -2,8 +2,8 @@
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import io.hawthornlb.app.batch.BatchPlane;
+import io.hawthornlb.core.batch.DispatcherElection;
 import io.hawthornlb.core.batch.OnlineNotice;
-import io.hawthornlb.core.batch.StewardElection;
 import io.hawthornlb.core.batch.support.RendezvousElection;
 import io.hawthornlb.core.effect.SpreadScope;
 import io.hawthornlb.core.endpoint.Endpoint;
@@ -22,7 +22,7 @@
 import java.util.Optional;
 
 /**
- * Watches the endpoints whose steward this instance is, and tells peers what it sees.
+ * Watches the endpoints whose dispatcher this instance is, and tells peers what it sees.
  *
  * <p>One entry asks each endpoint, not all of them: at the size of a large fleet the reports alone
  * would otherwise cost each endpoint hundreds of calls a second.
@@ -40,7 +40,7 @@
   private final InstantSource clock;
   private final EndpointMonitor monitor;
   private final Map<EndpointId, LoadReport> told = new HashMap<>();
-  private final StewardElection election = new RendezvousElection();
+  private final DispatcherElection election = new RendezvousElection();
 
   EndpointWatch(
       OnlinePolicies policies,
@@ -70,17 +70,18 @@
     monitor.probe(policies.endpoints().probesDue(clock.instant()));
   }
 
-  /** Tells the steward of an endpoint how many requests of this entry are in flight there. */
+  /** Tells the dispatcher of an endpoint how many requests of this entry are in flight there. */
   void tellSteward(EndpointId endpoint) {
     int inFlight = policies.inFlight().own(endpoint);
     batch.online(endpoint, inFlight);
     policies
         .endpoints()
         .find(endpoint)
-        .flatMap(this::steward)
-        .filter(steward -> !steward.equals(fleet.self()))
+        .flatMap(this::dispatcher)
+        .filter(dispatcher -> !dispatcher.equals(fleet.self()))
         .ifPresent(
-            steward -> peers.send(steward, new OnlineNotice(fleet.self(), endpoint, inFlight)));
+            dispatcher ->
+                peers.send(dispatcher, new OnlineNotice(fleet.self(), endpoint, inFlight)));
   }
 
   /** Returns whether a report says anything new, or the last one told is getting old. */
@@ -126,12 +127,12 @@
   }
 
   private boolean isSteward(Endpoint endpoint) {
-    return steward(endpoint).filter(fleet.self()::equals).isPresent();
+    return dispatcher(endpoint).filter(fleet.self()::equals).isPresent();
   }
 
-  private Optional<InstanceId> steward(Endpoint endpoint) {
+  private Optional<InstanceId> dispatcher(Endpoint endpoint) {
     Collection<InstanceId> here = fleet.in(endpoint.dataCentre());
     Collection<InstanceId> candidates = here.isEmpty() ? fleet.entries().keySet() : here;
-    return election.steward(endpoint.id(), candidates);
+    return election.dispatcher(endpoint.id(), candidates);
   }
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/batch/Steward.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/batch/BatchDispatcher.java
@@ -12,7 +12,7 @@
  * <p>Each item that the dispatcher receives ends in exactly one of two ways: the dispatcher starts
  * it and receives an outcome, or the dispatcher returns it by {@link ReturnItems}.
  */
-public interface Steward {
+public interface BatchDispatcher {
 
   /** Handles items that were pulled; an empty list means that no items are available now. */
   List<Effect> onItems(List<BatchItem> items, Instant now);
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/batch/StewardElection.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/batch/DispatcherElection.java
@@ -9,11 +9,11 @@
  * Chooses the single entry instance that dispatches batch items to an endpoint. The result is only
  * a hint; correctness does not depend on it.
  */
-public interface StewardElection {
+public interface DispatcherElection {
 
   /**
    * Returns the dispatcher of an endpoint, chosen from the reachable entry instances of the
    * endpoint's data centre.
    */
-  Optional<InstanceId> steward(EndpointId endpoint, Collection<InstanceId> entries);
+  Optional<InstanceId> dispatcher(EndpointId endpoint, Collection<InstanceId> entries);
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/batch/StewardSettings.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/batch/DispatcherSettings.java
@@ -18,7 +18,7 @@
  * @param moveMillisPerToken cost of moving one token of KV cache
  * @param prefillMillisPerToken cost of computing one token of KV cache again
  */
-public record StewardSettings(
+public record DispatcherSettings(
     int slots,
     double fillBesideOnline,
     int prefillsBesideOnline,
@@ -32,7 +32,7 @@
   private static final double FULL_FILL_WEIGHT = 0.5;
 
   /** Checks the ranges of the counts and fractions. */
-  public StewardSettings {
+  public DispatcherSettings {
     Checks.isTrue(slots > 0, "slots must be positive");
     Checks.isTrue(fillBesideOnline >= 0 && fillBesideOnline <= 1, "fill must be from 0 to 1");
     Checks.isTrue(ahead > 0, "ahead must be positive");
@@ -44,11 +44,11 @@
    * <p>With a weight of one half or more, all slots are filled. With a smaller weight, some slots
    * stay free of batch work while online requests run, so that the steps of the engine are shorter.
    */
-  public static StewardSettings of(double batchWeight, int slots) {
+  public static DispatcherSettings of(double batchWeight, int slots) {
     Checks.isTrue(batchWeight >= 0 && batchWeight <= 1, "batch weight must be from 0 to 1");
     double fill = Math.min(1, MIN_FILL + (1 - MIN_FILL) * batchWeight / FULL_FILL_WEIGHT);
     int prefills = batchWeight >= FULL_FILL_WEIGHT ? 2 : 1;
-    return new StewardSettings(slots, fill, prefills, 1.0, Duration.ofSeconds(2), 20, 0.01, 0.1);
+    return new DispatcherSettings(slots, fill, prefills, 1.0, Duration.ofSeconds(2), 20, 0.01, 0.1);
   }
 
   /**
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/batch/support/EagerSteward.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/batch/support/EagerDispatcher.java
@@ -1,12 +1,12 @@
 package io.hawthornlb.core.batch.support;
 
+import io.hawthornlb.core.batch.BatchDispatcher;
 import io.hawthornlb.core.batch.BatchItem;
 import io.hawthornlb.core.batch.BatchOutcome;
 import io.hawthornlb.core.batch.ItemRef;
 import io.hawthornlb.core.batch.PullItems;
 import io.hawthornlb.core.batch.ReturnItems;
 import io.hawthornlb.core.batch.StartItem;
-import io.hawthornlb.core.batch.Steward;
 import io.hawthornlb.core.effect.Effect;
 import io.hawthornlb.core.endpoint.LoadReport;
 import io.hawthornlb.core.model.EndpointId;
@@ -27,7 +27,7 @@
  *
  * <p>It is the reference implementation in differential tests and the baseline of measurements.
  */
-public final class EagerSteward implements Steward {
+public final class EagerDispatcher implements BatchDispatcher {
 
   private final EndpointId endpoint;
   private final ServiceName service;
@@ -36,7 +36,7 @@
   private final Set<ItemRef> running = new HashSet<>();
 
   /** Creates the dispatcher of an endpoint with the given number of slots. */
-  public EagerSteward(EndpointId endpoint, ServiceName service, int slots) {
+  public EagerDispatcher(EndpointId endpoint, ServiceName service, int slots) {
     this.endpoint = endpoint;
     this.service = service;
     this.slots = slots;
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/batch/support/HeadroomSteward.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/batch/support/HeadroomDispatcher.java
@@ -1,14 +1,14 @@
 package io.hawthornlb.core.batch.support;
 
+import io.hawthornlb.core.batch.BatchDispatcher;
 import io.hawthornlb.core.batch.BatchItem;
 import io.hawthornlb.core.batch.BatchOutcome;
 import io.hawthornlb.core.batch.CancelItem;
+import io.hawthornlb.core.batch.DispatcherSettings;
 import io.hawthornlb.core.batch.ItemRef;
 import io.hawthornlb.core.batch.PullItems;
 import io.hawthornlb.core.batch.ReturnItems;
 import io.hawthornlb.core.batch.StartItem;
-import io.hawthornlb.core.batch.Steward;
-import io.hawthornlb.core.batch.StewardSettings;
 import io.hawthornlb.core.effect.Effect;
 import io.hawthornlb.core.endpoint.CountHistory;
 import io.hawthornlb.core.endpoint.LoadReport;
@@ -25,7 +25,7 @@
  * Dispatcher that fills the slots that online requests leave free, and cancels batch items while it
  * handles the same event that announces an online request.
  */
-public final class HeadroomSteward implements Steward {
+public final class HeadroomDispatcher implements BatchDispatcher {
 
   private static final Duration PULL_TIMEOUT = Duration.ofSeconds(1);
   private static final Duration EMPTY_PULL_DELAY = Duration.ofMillis(200);
@@ -35,7 +35,7 @@
 
   private final EndpointId endpoint;
   private final ServiceName service;
-  private final StewardSettings settings;
+  private final DispatcherSettings settings;
   private final ItemQueue queue = new ItemQueue();
   private final RunningItems running = new RunningItems();
   private final OnlineCount online = new OnlineCount();
@@ -49,7 +49,7 @@
   private double millisPerDone = FIRST_ITEM_MILLIS;
 
   /** Creates the dispatcher of an endpoint. */
-  public HeadroomSteward(EndpointId endpoint, ServiceName service, StewardSettings settings) {
+  public HeadroomDispatcher(EndpointId endpoint, ServiceName service, DispatcherSettings settings) {
     this.endpoint = endpoint;
     this.service = service;
     this.settings = settings;
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/batch/support/RendezvousElection.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/batch/support/RendezvousElection.java
@@ -1,7 +1,7 @@
 package io.hawthornlb.core.batch.support;
 
 import com.dynatrace.hash4j.hashing.Hashing;
-import io.hawthornlb.core.batch.StewardElection;
+import io.hawthornlb.core.batch.DispatcherElection;
 import io.hawthornlb.core.model.EndpointId;
 import io.hawthornlb.core.model.InstanceId;
 import java.util.Collection;
@@ -12,10 +12,10 @@
  * Election by rendezvous hashing: an entry instance that leaves or joins changes the dispatcher
  * only of its own endpoints.
  */
-public final class RendezvousElection implements StewardElection {
+public final class RendezvousElection implements DispatcherElection {
 
   @Override
-  public Optional<InstanceId> steward(EndpointId endpoint, Collection<InstanceId> entries) {
+  public Optional<InstanceId> dispatcher(EndpointId endpoint, Collection<InstanceId> entries) {
     return entries.stream()
         .max(
             Comparator.comparingLong((InstanceId entry) -> weight(endpoint, entry))
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/batch/BatchDispatcherFailureTest.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/batch/BatchDispatcherFailureTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.hawthornlb.core.batch.support.EagerSteward;
-import io.hawthornlb.core.batch.support.HeadroomSteward;
+import io.hawthornlb.core.batch.support.EagerDispatcher;
+import io.hawthornlb.core.batch.support.HeadroomDispatcher;
 import io.hawthornlb.core.effect.Effect;
 import io.hawthornlb.core.endpoint.LoadReport;
 import io.hawthornlb.core.model.EndpointId;
@@ -32,9 +32,9 @@
   private static final Instant NOW = Instant.EPOCH;
   private static final int SLOTS = 4;
 
-  private final Steward eager = new EagerSteward(ENGINE, SERVICE, SLOTS);
-  private final Steward headroom =
-      new HeadroomSteward(ENGINE, SERVICE, StewardSettings.of(1, SLOTS));
+  private final BatchDispatcher eager = new EagerDispatcher(ENGINE, SERVICE, SLOTS);
+  private final BatchDispatcher headroom =
+      new HeadroomDispatcher(ENGINE, SERVICE, DispatcherSettings.of(1, SLOTS));
 
   // Guards against an online request that takes seconds to begin: all slots of the engine hold
   // batch items, and the request waits inside the engine until one of them ends.
@@ -105,7 +105,8 @@
   @Property(tries = 200, seed = "20261202")
   void everyItemIsStartedOrReturnedOnce(@ForAll long seed) {
     Random random = new Random(seed);
-    Steward steward = new HeadroomSteward(ENGINE, SERVICE, StewardSettings.of(0.5, SLOTS));
+    BatchDispatcher dispatcher =
+        new HeadroomDispatcher(ENGINE, SERVICE, DispatcherSettings.of(0.5, SLOTS));
     Set<ItemRef> running = new HashSet<>();
     Set<ItemRef> outside = new HashSet<>();
     int received = 0;
@@ -116,27 +117,27 @@
       List<Effect> effects;
       int action = random.nextInt(5);
       if (action == 0) {
-        effects = steward.onItems(List.of(item("job-" + i % 3, i, Duration.ofHours(1))), now);
+        effects = dispatcher.onItems(List.of(item("job-" + i % 3, i, Duration.ofHours(1))), now);
         received++;
       } else if (action == 1) {
-        effects = steward.onOnline(ENTRY, random.nextInt(SLOTS + 2), now);
+        effects = dispatcher.onOnline(ENTRY, random.nextInt(SLOTS + 2), now);
       } else if (action == 2 && !running.isEmpty()) {
         ItemRef ref = running.iterator().next();
         running.remove(ref);
         boolean ended = random.nextBoolean();
         done += ended ? 1 : 0;
         BatchOutcome outcome = ended ? BatchOutcome.DONE : BatchOutcome.PREEMPTED;
-        effects = steward.onEnded(ref, outcome, 5, now);
+        effects = dispatcher.onEnded(ref, outcome, 5, now);
       } else {
-        effects = steward.onTick(now);
+        effects = dispatcher.onTick(now);
       }
       apply(effects, running, outside);
       assertTrue(running.size() <= SLOTS, "more items than slots");
     }
-    apply(steward.onStop(now), running, outside);
+    apply(dispatcher.onStop(now), running, outside);
     for (ItemRef ref : List.copyOf(running)) {
       running.remove(ref);
-      apply(steward.onEnded(ref, BatchOutcome.PREEMPTED, 5, now), running, outside);
+      apply(dispatcher.onEnded(ref, BatchOutcome.PREEMPTED, 5, now), running, outside);
     }
     assertEquals(received, done + outside.size());
   }
@@ -151,12 +152,12 @@
     }
   }
 
-  private static void fill(Steward steward) {
+  private static void fill(BatchDispatcher dispatcher) {
     List<BatchItem> items = new ArrayList<>();
     for (int i = 0; i < SLOTS; i++) {
       items.add(item("job", i, Duration.ofHours(1)));
     }
-    steward.onItems(items, NOW);
+    dispatcher.onItems(items, NOW);
   }
 
   private static BatchItem item(String job, int index, Duration due) {
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/batch/DispatcherElectionTest.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/batch/DispatcherElectionTest.java
@@ -14,7 +14,7 @@
 
   @Test
   void anEntryThatLeavesMovesOnlyItsOwnEndpoints() {
-    StewardElection election = new RendezvousElection();
+    DispatcherElection election = new RendezvousElection();
     List<InstanceId> all = new ArrayList<>();
     for (int i = 0; i < 13; i++) {
       all.add(new InstanceId("entry-" + i));
@@ -24,12 +24,12 @@
     int moved = 0;
     for (int i = 0; i < 120; i++) {
       EndpointId endpoint = new EndpointId("engine-" + i);
-      InstanceId before = election.steward(endpoint, all).orElseThrow();
-      InstanceId after = election.steward(endpoint, remaining).orElseThrow();
+      InstanceId before = election.dispatcher(endpoint, all).orElseThrow();
+      InstanceId after = election.dispatcher(endpoint, remaining).orElseThrow();
       moved += before.equals(after) ? 0 : 1;
       assertTrue(before.equals(after) || before.equals(gone));
     }
     assertTrue(moved > 0 && moved < 30, "moved " + moved);
-    assertEquals(java.util.Optional.empty(), election.steward(new EndpointId("e"), List.of()));
+    assertEquals(java.util.Optional.empty(), election.dispatcher(new EndpointId("e"), List.of()));
   }
 }
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/policy/FleetRun.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/policy/FleetRun.java
@@ -2,13 +2,13 @@
 
 import io.hawthornlb.core.admission.RefuseRequest;
 import io.hawthornlb.core.admission.StartRequest;
+import io.hawthornlb.core.batch.BatchDispatcher;
 import io.hawthornlb.core.batch.BatchItem;
 import io.hawthornlb.core.batch.BatchOutcome;
 import io.hawthornlb.core.batch.CancelItem;
 import io.hawthornlb.core.batch.PullItems;
 import io.hawthornlb.core.batch.ReturnItems;
 import io.hawthornlb.core.batch.StartItem;
-import io.hawthornlb.core.batch.Steward;
 import io.hawthornlb.core.batch.support.RendezvousElection;
 import io.hawthornlb.core.effect.Effect;
 import io.hawthornlb.core.endpoint.Endpoint;
@@ -157,8 +157,9 @@
           near.add(entry.id);
         }
       }
-      InstanceId steward = new RendezvousElection().steward(engine.id, near).orElseThrow();
-      SimEntry entry = entries.stream().filter(e -> e.id.equals(steward)).findAny().orElseThrow();
+      InstanceId dispatcher = new RendezvousElection().dispatcher(engine.id, near).orElseThrow();
+      SimEntry entry =
+          entries.stream().filter(e -> e.id.equals(dispatcher)).findAny().orElseThrow();
       dispatchers.put(engine.id, entry);
       if (policy.batch() && engine.model == EngineModel.SMALL) {
         entry.addDispatcher(engine, fleet.batchWeight());
@@ -168,13 +169,13 @@
   }
 
   void online(SimEntry from, EndpointId endpoint) {
-    SimEntry steward = dispatchers.get(endpoint);
+    SimEntry dispatcher = dispatchers.get(endpoint);
     int count = from.inFlight.own(endpoint);
     toPeer(
         from,
-        steward,
+        dispatcher,
         to -> {
-          Steward target = to.dispatchers.get(endpoint);
+          BatchDispatcher target = to.dispatchers.get(endpoint);
           if (target != null) {
             perform(to, engines.get(endpoint), target.onOnline(from.id, count, events.now()));
           }
@@ -224,14 +225,14 @@
 
   private void submit(SimEntry entry, FakeEngine engine, BatchItem item) {
     result.batchStarts++;
-    Steward steward = entry.dispatchers.get(engine.id);
+    BatchDispatcher dispatcher = entry.dispatchers.get(engine.id);
     FakeTask[] task = new FakeTask[1];
     FakeTask.Listener listener =
         new FakeTask.Listener() {
           @Override
           public void first() {
             int generated = task[0].generated;
-            perform(entry, engine, steward.onProgress(item.ref(), generated, events.now()));
+            perform(entry, engine, dispatcher.onProgress(item.ref(), generated, events.now()));
           }
 
           @Override
@@ -261,7 +262,8 @@
           }
 
           private void end(BatchOutcome outcome, int generated) {
-            perform(entry, engine, steward.onEnded(item.ref(), outcome, generated, events.now()));
+            perform(
+                entry, engine, dispatcher.onEnded(item.ref(), outcome, generated, events.now()));
           }
         };
     String prefix = "batch-" + item.ref().job();
@@ -293,11 +295,11 @@
 
   private void reported(FakeEngine engine, LoadReport report) {
     SimEntry entry = dispatchers.get(engine.id);
-    Steward steward = entry.dispatchers.get(engine.id);
+    BatchDispatcher dispatcher = entry.dispatchers.get(engine.id);
     LoadReport fullReport = report;
-    if (steward != null) {
-      fullReport = report.withBatch(steward.batchAt(report.asOf()));
-      perform(entry, engine, steward.onLoad(report, events.now()));
+    if (dispatcher != null) {
+      fullReport = report.withBatch(dispatcher.batchAt(report.asOf()));
+      perform(entry, engine, dispatcher.onLoad(report, events.now()));
     }
     LoadReport spreadReport = fullReport;
     entry.table.onLoad(engine.id, spreadReport, events.now());
@@ -319,7 +321,7 @@
     probe();
     for (SimEntry entry : entries) {
       entry.dispatchers.forEach(
-          (id, steward) -> perform(entry, engines.get(id), steward.onTick(events.now())));
+          (id, dispatcher) -> perform(entry, engines.get(id), dispatcher.onTick(events.now())));
       admit(entry, entry.admission.onTick(events.now()));
     }
   }
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/policy/SimEntry.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/policy/SimEntry.java
@@ -7,10 +7,10 @@
 import io.hawthornlb.core.admission.support.EvenShareExchange;
 import io.hawthornlb.core.admission.support.FairAdmissionController;
 import io.hawthornlb.core.admission.support.FifoAdmissionController;
-import io.hawthornlb.core.batch.Steward;
-import io.hawthornlb.core.batch.StewardSettings;
-import io.hawthornlb.core.batch.support.EagerSteward;
-import io.hawthornlb.core.batch.support.HeadroomSteward;
+import io.hawthornlb.core.batch.BatchDispatcher;
+import io.hawthornlb.core.batch.DispatcherSettings;
+import io.hawthornlb.core.batch.support.EagerDispatcher;
+import io.hawthornlb.core.batch.support.HeadroomDispatcher;
 import io.hawthornlb.core.endpoint.EndpointTable;
 import io.hawthornlb.core.endpoint.EndpointTableSettings;
 import io.hawthornlb.core.endpoint.support.ListedEndpointTable;
@@ -50,7 +50,7 @@
   final ShareExchange shares;
   final AdmissionController admission;
   final RetryPolicy retries;
-  final Map<EndpointId, Steward> dispatchers = new HashMap<>();
+  final Map<EndpointId, BatchDispatcher> dispatchers = new HashMap<>();
   final Map<RequestId, Runnable> queued = new HashMap<>();
   private final PolicySet policy;
 
@@ -78,11 +78,12 @@
 
   void addDispatcher(FakeEngine engine, double batchWeight) {
     int slots = engine.model.slots();
-    StewardSettings settings = StewardSettings.of(policy.batchWeight().orElse(batchWeight), slots);
+    DispatcherSettings settings =
+        DispatcherSettings.of(policy.batchWeight().orElse(batchWeight), slots);
     dispatchers.put(
         engine.id,
         policy.baseline()
-            ? new EagerSteward(engine.id, engine.service, slots)
-            : new HeadroomSteward(engine.id, engine.service, settings));
+            ? new EagerDispatcher(engine.id, engine.service, slots)
+            : new HeadroomDispatcher(engine.id, engine.service, settings));
   }
 }
