--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/batch/support/EagerSteward.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/batch/support/EagerDispatcher.java
@@ -1,12 +1,12 @@
 package io.hawthornlb.core.batch.support;
 
+import io.hawthornlb.core.batch.BatchDispatcher;
 import io.hawthornlb.core.batch.BatchItem;
 import io.hawthornlb.core.batch.BatchOutcome;
 import io.hawthornlb.core.batch.ItemRef;
 import io.hawthornlb.core.batch.PullItems;
 import io.hawthornlb.core.batch.ReturnItems;
 import io.hawthornlb.core.batch.StartItem;
-import io.hawthornlb.core.batch.Steward;
 import io.hawthornlb.core.effect.Effect;
 import io.hawthornlb.core.endpoint.LoadReport;
 import io.hawthornlb.core.model.EndpointId;
@@ -22,11 +22,12 @@
 import java.util.Set;
 
 /**
- * Naive steward that keeps every slot of its endpoint filled in order of arrival, never preempts.
+ * Simple dispatcher that keeps every slot of its endpoint filled, in order of arrival, and never
+ * preempts an item.
  *
- * <p>The reference of differential tests and the baseline of measurements.
+ * <p>It is the reference implementation in differential tests and the baseline of measurements.
  */
-public final class EagerSteward implements Steward {
+public final class EagerDispatcher implements BatchDispatcher {
 
   private final EndpointId endpoint;
   private final ServiceName service;
@@ -34,8 +35,8 @@
   private final Deque<BatchItem> queue = new ArrayDeque<>();
   private final Set<ItemRef> running = new HashSet<>();
 
-  /** Creates a steward of an endpoint with a number of slots. */
-  public EagerSteward(EndpointId endpoint, ServiceName service, int slots) {
+  /** Creates the dispatcher of an endpoint with the given number of slots. */
+  public EagerDispatcher(EndpointId endpoint, ServiceName service, int slots) {
     this.endpoint = endpoint;
     this.service = service;
     this.slots = slots;
@@ -75,9 +76,9 @@
 
   @Override
   public List<Effect> onStop(Instant now) {
-    List<BatchItem> left = List.copyOf(queue);
+    List<BatchItem> waiting = List.copyOf(queue);
     queue.clear();
-    return List.of(new ReturnItems(endpoint, left));
+    return List.of(new ReturnItems(endpoint, waiting));
   }
 
   private List<Effect> fill() {
