--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/partition/PartitionContext.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/partition/PartitionContext.java
@@ -5,8 +5,8 @@
 import io.hawthornlb.core.job.JobOrder;
 import io.hawthornlb.core.job.JobSettings;
 import io.hawthornlb.core.log.RecordIdSource;
+import io.hawthornlb.core.runonce.ReplicaTable;
 import io.hawthornlb.core.runonce.RunOnceSettings;
-import io.hawthornlb.core.runonce.WitnessTable;
 import io.hawthornlb.net.platform.MissedRecordSource;
 import java.time.InstantSource;
 
@@ -28,7 +28,7 @@
     LogAccess log,
     MissedRecordSource missed,
     RecordIdSource ids,
-    WitnessTable witnesses,
+    ReplicaTable witnesses,
     JobOrder order,
     JobSettings jobs,
     RunOnceSettings runOnce,
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/partition/PartitionMessages.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/partition/PartitionMessages.java
@@ -24,11 +24,11 @@
 import io.hawthornlb.core.runonce.ForgetEntries;
 import io.hawthornlb.core.runonce.ForwardRunOnce;
 import io.hawthornlb.core.runonce.LateOutcome;
+import io.hawthornlb.core.runonce.ReplicaContents;
+import io.hawthornlb.core.runonce.ReplicaTable;
 import io.hawthornlb.core.runonce.RunOnceAnswered;
 import io.hawthornlb.core.runonce.RunOnceEvent;
 import io.hawthornlb.core.runonce.StoreEntries;
-import io.hawthornlb.core.runonce.WitnessContents;
-import io.hawthornlb.core.runonce.WitnessTable;
 import io.hawthornlb.net.peer.PeerHandlerRegistry;
 import java.time.InstantSource;
 import java.util.ArrayList;
@@ -41,7 +41,7 @@
 public final class PartitionMessages {
 
   private final PartitionHosts hosts;
-  private final WitnessTable witnesses;
+  private final ReplicaTable witnesses;
   private final EffectSink effects;
   private final InstantSource clock;
   private final int partitions;
@@ -49,7 +49,7 @@
   /** Creates the handlers. */
   public PartitionMessages(
       PartitionHosts hosts,
-      WitnessTable witnesses,
+      ReplicaTable witnesses,
       EffectSink effects,
       InstantSource clock,
       int partitions) {
@@ -70,7 +70,7 @@
         .register(ItemsHeld.class, heard(this::held))
         .register(ForwardRunOnce.class, heard(this::forward))
         .register(EntriesStored.class, heard(message -> runOnce(message.partition(), message)))
-        .register(WitnessContents.class, heard(message -> runOnce(message.partition(), message)))
+        .register(ReplicaContents.class, heard(message -> runOnce(message.partition(), message)))
         .register(LateOutcome.class, heard(message -> runOnce(message.partition(), message)))
         .register(StoreEntries.class, heard(this::store))
         .register(ForgetEntries.class, heard(witnesses::forget))
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/partition/PartitionPlane.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/partition/PartitionPlane.java
@@ -15,11 +15,11 @@
 import io.hawthornlb.core.log.RecordIdSource;
 import io.hawthornlb.core.model.InstanceId;
 import io.hawthornlb.core.model.WorkspaceId;
+import io.hawthornlb.core.runonce.ReplicaTable;
 import io.hawthornlb.core.runonce.RunOnceAnswered;
 import io.hawthornlb.core.runonce.RunOnceSettings;
-import io.hawthornlb.core.runonce.WitnessTable;
 import io.hawthornlb.core.runonce.support.DefaultRunOnceForwarder;
-import io.hawthornlb.core.runonce.support.SimpleWitnessTable;
+import io.hawthornlb.core.runonce.support.InMemoryReplicaTable;
 import io.hawthornlb.net.peer.PeerHandlerRegistry;
 import io.hawthornlb.net.platform.MissedRecordSource;
 import java.time.Duration;
@@ -54,7 +54,7 @@
       DecisionLoop loop,
       InstantSource clock) {
     int partitions = claims.partitions();
-    WitnessTable witnesses = new SimpleWitnessTable(self, WITNESS_BYTES);
+    ReplicaTable witnesses = new InMemoryReplicaTable(self, WITNESS_BYTES);
     this.context =
         new PartitionContext(
             loop,
--- a/hawthornlb-app/src/test/java/io/hawthornlb/app/entry/WitnessBench.java
+++ b/hawthornlb-app/src/test/java/io/hawthornlb/app/entry/WitnessBench.java
@@ -11,7 +11,7 @@
 import io.hawthornlb.core.runonce.RunOnceKey;
 import io.hawthornlb.core.runonce.ServiceResult;
 import io.hawthornlb.core.runonce.StoreEntries;
-import io.hawthornlb.core.runonce.support.SimpleWitnessTable;
+import io.hawthornlb.core.runonce.support.InMemoryReplicaTable;
 import io.hawthornlb.net.codec.MessagePackCodec;
 import java.util.ArrayList;
 import java.util.List;
@@ -41,7 +41,7 @@
   }
 
   private void report(String name, StoreEntries message) {
-    SimpleWitnessTable table = new SimpleWitnessTable(new InstanceId("entry-0"), NO_BOUND);
+    InMemoryReplicaTable table = new InMemoryReplicaTable(new InstanceId("entry-0"), NO_BOUND);
     byte[] bytes = codec.encode(message);
     double encode = CapacityFixture.cpuMicros(() -> codec.encode(message));
     double handle =
@@ -63,7 +63,7 @@
   void heap() {
     for (int keys : new int[] {2_000, 20_000, 100_000}) {
       long before = CapacityFixture.usedBytes();
-      SimpleWitnessTable table = new SimpleWitnessTable(new InstanceId("entry-0"), NO_BOUND);
+      InMemoryReplicaTable table = new InMemoryReplicaTable(new InstanceId("entry-0"), NO_BOUND);
       for (int first = 0; first < keys; first += GROUP) {
         byte[] bytes = codec.encode(store(first, GROUP, true));
         codec
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/FenceAndCollect.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/FenceAndCollect.java
@@ -9,7 +9,7 @@
  * Asks a witness of an earlier epoch to store nothing for it from now on and to hand over what it
  * keeps.
  *
- * <p>Answered by {@link WitnessContents}.
+ * <p>Answered by {@link ReplicaContents}.
  *
  * @param successor the new holder
  * @param partition the partition
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/WitnessContents.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/ReplicaContents.java
@@ -17,7 +17,7 @@
  * @param entries the next entries
  * @param more whether there are further ones
  */
-public record WitnessContents(
+public record ReplicaContents(
     InstanceId witness,
     PartitionId partition,
     Epoch epoch,
@@ -28,7 +28,7 @@
     implements RunOnceEvent, PeerMessage {
 
   /** Copies the entries. */
-  public WitnessContents {
+  public ReplicaContents {
     entries = List.copyOf(entries);
   }
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/WitnessSet.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/ReplicaSet.java
@@ -15,10 +15,10 @@
  * @param members the holder and the witnesses, or nobody if intents are durable in the log only
  * @param tolerance how many members may be silent when an intent is stored
  */
-public record WitnessSet(Epoch epoch, List<InstanceId> members, int tolerance) {
+public record ReplicaSet(Epoch epoch, List<InstanceId> members, int tolerance) {
 
   /** Checks the tolerance and copies the members. */
-  public WitnessSet {
+  public ReplicaSet {
     Checks.notNegative(tolerance, "tolerance");
     Checks.isTrue(tolerance * 2 <= members.size(), "too many members are tolerated");
     members = List.copyOf(members);
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/WitnessTable.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/ReplicaTable.java
@@ -10,7 +10,7 @@
  *
  * <p>Bounded: an entry for which there is no room is not stored, and none is dropped for another.
  */
-public interface WitnessTable {
+public interface ReplicaTable {
 
   /** Stores what the epoch of the question still may and returns what is kept. */
   EntriesStored store(StoreEntries question, Instant now);
@@ -19,7 +19,7 @@
   void forget(ForgetEntries message);
 
   /** Fences the older epochs and returns what is kept of the one that is asked for. */
-  WitnessContents fence(FenceAndCollect question);
+  ReplicaContents fence(FenceAndCollect question);
 
   /** Returns the lowest epoch that may still store entries of a partition. */
   Epoch fence(PartitionId partition);
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/WitnessesNamed.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/ReplicasNamed.java
@@ -21,28 +21,28 @@
  * @param unresolved earlier epochs of which too few witnesses could be asked
  * @param unknownUntil until when a key that is not known may have run under one of them
  */
-public record WitnessesNamed(
+public record ReplicasNamed(
     Epoch epoch,
     InstanceId holder,
     List<InstanceId> witnesses,
     int tolerance,
-    List<WitnessSet> unresolved,
+    List<ReplicaSet> unresolved,
     Optional<Instant> unknownUntil)
     implements PartitionRecord {
 
   /** Copies the lists. */
-  public WitnessesNamed {
+  public ReplicasNamed {
     witnesses = List.copyOf(witnesses);
     unresolved = List.copyOf(unresolved);
   }
 
   /** Returns the witnesses of this epoch, the holder among them. */
-  public WitnessSet set() {
+  public ReplicaSet set() {
     if (witnesses.isEmpty()) {
-      return new WitnessSet(epoch, List.of(), 0);
+      return new ReplicaSet(epoch, List.of(), 0);
     }
     List<InstanceId> members = new ArrayList<>(witnesses);
     members.add(holder);
-    return new WitnessSet(epoch, members, tolerance);
+    return new ReplicaSet(epoch, members, tolerance);
   }
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/WitnessesReleased.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/ReplicasReleased.java
@@ -9,4 +9,4 @@
  *
  * @param epoch the epoch of the holder
  */
-public record WitnessesReleased(Epoch epoch) implements PartitionRecord {}
+public record ReplicasReleased(Epoch epoch) implements PartitionRecord {}
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/RunOnceDirectory.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/RunOnceDirectory.java
@@ -12,7 +12,7 @@
   boolean sameContent(KeyState state, String fingerprint);
 
   /** Returns the last record that named witnesses. */
-  Optional<WitnessesNamed> witnesses();
+  Optional<ReplicasNamed> replicasNamed();
 
   /** Returns whether the holder that named the witnesses has released them since. */
   boolean released();
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/support/DefaultRunOnceCoordinator.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/support/DefaultRunOnceCoordinator.java
@@ -20,13 +20,13 @@
 import io.hawthornlb.core.runonce.LateOutcome;
 import io.hawthornlb.core.runonce.OutcomeRead;
 import io.hawthornlb.core.runonce.OutcomeUnreadable;
+import io.hawthornlb.core.runonce.ReplicaContents;
+import io.hawthornlb.core.runonce.ReplicaTable;
+import io.hawthornlb.core.runonce.ReplicasReleased;
 import io.hawthornlb.core.runonce.RunOnceCoordinator;
 import io.hawthornlb.core.runonce.RunOnceEvent;
 import io.hawthornlb.core.runonce.RunOnceSettings;
 import io.hawthornlb.core.runonce.StopPoint;
-import io.hawthornlb.core.runonce.WitnessContents;
-import io.hawthornlb.core.runonce.WitnessTable;
-import io.hawthornlb.core.runonce.WitnessesReleased;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayList;
@@ -42,7 +42,7 @@
   private final PartitionFold partition;
   private final RunOnceFold fold;
   private final HeldPartition held;
-  private final WitnessTable table;
+  private final ReplicaTable table;
   private final RecordIdSource ids;
   private final RunOnceSettings settings;
   private final ResentAppends appends = new ResentAppends();
@@ -70,7 +70,7 @@
       PartitionFold partition,
       RunOnceFold fold,
       HeldPartition held,
-      WitnessTable table,
+      ReplicaTable table,
       RecordIdSource ids,
       RunOnceSettings settings) {
     this.id = id;
@@ -151,7 +151,7 @@
       RunOnceEvent event, HolderTerm current, Instant now, List<Effect> out) {
     if (event instanceof EntriesStored stored && stored.epoch().equals(current.epoch())) {
       runs.stored(stored, current.client(), now, out);
-    } else if (event instanceof WitnessContents contents) {
+    } else if (event instanceof ReplicaContents contents) {
       current.collected(contents, now, out);
     } else if (event instanceof LateOutcome late) {
       log.add(late.entry(), now);
@@ -199,12 +199,12 @@
     boolean idle = draining && current.ready() && runs.empty() && log.empty();
     if (idle && !releaseRequested) {
       releaseRequested = true;
-      WitnessesReleased record = new WitnessesReleased(current.epoch());
+      ReplicasReleased record = new ReplicasReleased(current.epoch());
       appends.add(new AppendRecord(stream, ids.next(), record), fold::released, now, out);
     }
   }
 
-  private @Nullable WitnessClient client() {
+  private @Nullable ReplicaClient client() {
     return term == null ? null : term.client();
   }
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/support/HolderTerm.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/support/HolderTerm.java
@@ -9,12 +9,12 @@
 import io.hawthornlb.core.model.InstanceId;
 import io.hawthornlb.core.partition.PartitionFold;
 import io.hawthornlb.core.partition.support.ResentAppends;
+import io.hawthornlb.core.runonce.ReplicaContents;
+import io.hawthornlb.core.runonce.ReplicaSet;
+import io.hawthornlb.core.runonce.ReplicaTable;
+import io.hawthornlb.core.runonce.ReplicasNamed;
 import io.hawthornlb.core.runonce.RunOnceEntry;
 import io.hawthornlb.core.runonce.RunOnceSettings;
-import io.hawthornlb.core.runonce.WitnessContents;
-import io.hawthornlb.core.runonce.WitnessSet;
-import io.hawthornlb.core.runonce.WitnessTable;
-import io.hawthornlb.core.runonce.WitnessesNamed;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayList;
@@ -38,20 +38,20 @@
   private final RunOnceSettings settings;
   private final ResentAppends appends;
   private final EntryLog log;
-  private final WitnessRecovery recovery;
-  private final WitnessClient client;
+  private final ReplicaRecovery recovery;
+  private final ReplicaClient client;
   private final Instant begunAt;
   private final Optional<Instant> inherited;
-  private final List<WitnessSet> inheritedSets;
+  private final List<ReplicaSet> inheritedSets;
   private final List<RunOnceEntry> recovered = new ArrayList<>();
-  private @Nullable WitnessesNamed requested;
+  private @Nullable ReplicasNamed requested;
   private long roundAt;
 
   HolderTerm(
       Claim claim,
       PartitionFold partition,
       RunOnceFold fold,
-      WitnessTable table,
+      ReplicaTable table,
       RecordIdSource ids,
       RunOnceSettings settings,
       ResentAppends appends,
@@ -67,13 +67,15 @@
     this.begunAt = now;
     this.roundAt = partition.openedAt();
     this.inherited =
-        fold.witnesses().flatMap(WitnessesNamed::unknownUntil).filter(until -> until.isAfter(now));
-    this.inheritedSets = inherited.isEmpty() ? List.of() : fold.witnesses().get().unresolved();
+        fold.replicasNamed()
+            .flatMap(ReplicasNamed::unknownUntil)
+            .filter(until -> until.isAfter(now));
+    this.inheritedSets = inherited.isEmpty() ? List.of() : fold.replicasNamed().get().unresolved();
     InstanceId self = claim.holder();
     this.recovery =
-        new WitnessRecovery(self, claim.partition(), claim.epoch(), table, earlierSets());
+        new ReplicaRecovery(self, claim.partition(), claim.epoch(), table, earlierSets());
     this.client =
-        new WitnessClient(
+        new ReplicaClient(
             self, claim.partition(), claim.epoch(), table, claim.witnesses(), tolerance());
   }
 
@@ -81,13 +83,13 @@
     return claim.epoch();
   }
 
-  WitnessClient client() {
+  ReplicaClient client() {
     return client;
   }
 
   /** Returns whether requests may be run: the own record that names the witnesses is in the log. */
   boolean ready() {
-    return fold.witnesses().filter(named -> named.epoch().equals(claim.epoch())).isPresent();
+    return fold.replicasNamed().filter(named -> named.epoch().equals(claim.epoch())).isPresent();
   }
 
   /** Returns whether recovery has lasted too long for callers to wait for it. */
@@ -97,13 +99,13 @@
 
   /** Returns whether a key that nobody knows may have run under an epoch that is not recovered. */
   boolean unknownMayHaveRun(Instant now) {
-    return fold.witnesses()
-        .flatMap(WitnessesNamed::unknownUntil)
+    return fold.replicasNamed()
+        .flatMap(ReplicasNamed::unknownUntil)
         .filter(until -> until.isAfter(now))
         .isPresent();
   }
 
-  void collected(WitnessContents contents, Instant now, List<Effect> out) {
+  void collected(ReplicaContents contents, Instant now, List<Effect> out) {
     take(recovery.collected(contents, out), now);
   }
 
@@ -127,7 +129,7 @@
   }
 
   private void name(Instant now, List<Effect> out) {
-    List<WitnessSet> unresolved = recovery.unresolved();
+    List<ReplicaSet> unresolved = recovery.unresolved();
     boolean repeat = partition.openedAt() != roundAt;
     boolean changed = requested == null || !requested.unresolved().equals(unresolved);
     if (!changed && !repeat) {
@@ -135,7 +137,7 @@
     }
     roundAt = partition.openedAt();
     requested =
-        new WitnessesNamed(
+        new ReplicasNamed(
             claim.epoch(),
             claim.holder(),
             claim.witnesses(),
@@ -143,7 +145,7 @@
             unresolved,
             unknownUntil(unresolved, now));
     StreamName stream = StreamName.ofPartition(claim.partition());
-    WitnessesNamed named = requested;
+    ReplicasNamed named = requested;
     appends.add(new AppendRecord(stream, ids.next(), named), () -> seen(named), now, out);
   }
 
@@ -151,8 +153,8 @@
     return Math.min(settings.witnessTolerance(), claim.witnesses().size() / 3);
   }
 
-  private boolean seen(WitnessesNamed named) {
-    return fold.witnesses().filter(named::equals).isPresent();
+  private boolean seen(ReplicasNamed named) {
+    return fold.replicasNamed().filter(named::equals).isPresent();
   }
 
   /**
@@ -162,7 +164,7 @@
    * keys may be made there after this instance has taken over. That while is bounded, and each key
    * is remembered for a bounded time after it.
    */
-  private Optional<Instant> unknownUntil(List<WitnessSet> unresolved, Instant now) {
+  private Optional<Instant> unknownUntil(List<ReplicaSet> unresolved, Instant now) {
     if (unresolved.isEmpty()) {
       return Optional.empty();
     }
@@ -175,11 +177,11 @@
     return Optional.of(now.plus(settings.keyRetention()).plus(settings.maxWitnessOnly()));
   }
 
-  private List<WitnessSet> earlierSets() {
-    List<WitnessSet> sets = new ArrayList<>(inheritedSets);
+  private List<ReplicaSet> earlierSets() {
+    List<ReplicaSet> sets = new ArrayList<>(inheritedSets);
     if (!fold.released()) {
-      fold.witnesses()
-          .map(WitnessesNamed::set)
+      fold.replicasNamed()
+          .map(ReplicasNamed::set)
           .filter(set -> !set.members().isEmpty())
           .ifPresent(sets::add);
     }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/support/SimpleWitnessTable.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/support/InMemoryReplicaTable.java
@@ -7,11 +7,11 @@
 import io.hawthornlb.core.runonce.EntryMark;
 import io.hawthornlb.core.runonce.FenceAndCollect;
 import io.hawthornlb.core.runonce.ForgetEntries;
+import io.hawthornlb.core.runonce.ReplicaContents;
+import io.hawthornlb.core.runonce.ReplicaTable;
 import io.hawthornlb.core.runonce.RunOnceEntry;
 import io.hawthornlb.core.runonce.RunOnceKey;
 import io.hawthornlb.core.runonce.StoreEntries;
-import io.hawthornlb.core.runonce.WitnessContents;
-import io.hawthornlb.core.runonce.WitnessTable;
 import io.hawthornlb.core.util.Checks;
 import java.time.Instant;
 import java.util.ArrayList;
@@ -22,7 +22,7 @@
 import java.util.TreeMap;
 
 /** Keeps entries in hash maps; confined to one thread. */
-public final class SimpleWitnessTable implements WitnessTable {
+public final class InMemoryReplicaTable implements ReplicaTable {
 
   private static final int PAGE_ENTRIES = 200;
   private static final int ENTRY_BYTES = 256;
@@ -39,7 +39,7 @@
    * @param self the instance that is the witness
    * @param maxBytes how much the entries may take together
    */
-  public SimpleWitnessTable(InstanceId self, long maxBytes) {
+  public InMemoryReplicaTable(InstanceId self, long maxBytes) {
     Checks.isTrue(maxBytes > 0, "max bytes must be positive");
     this.self = self;
     this.maxBytes = maxBytes;
@@ -85,7 +85,7 @@
   }
 
   @Override
-  public WitnessContents fence(FenceAndCollect question) {
+  public ReplicaContents fence(FenceAndCollect question) {
     Store store = stores.computeIfAbsent(question.partition(), id -> new Store());
     if (store.fence.compareTo(question.epoch()) < 0) {
       store.fence = question.epoch();
@@ -94,7 +94,7 @@
         List.copyOf(store.epochs.getOrDefault(question.oldEpoch(), Map.of()).values());
     int from = Math.min(question.from(), entries.size());
     int end = Math.min(from + PAGE_ENTRIES, entries.size());
-    return new WitnessContents(
+    return new ReplicaContents(
         self,
         question.partition(),
         question.epoch(),
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/support/WitnessClient.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/support/ReplicaClient.java
@@ -7,28 +7,28 @@
 import io.hawthornlb.core.model.PartitionId;
 import io.hawthornlb.core.runonce.EntryMark;
 import io.hawthornlb.core.runonce.ForgetEntries;
+import io.hawthornlb.core.runonce.ReplicaTable;
 import io.hawthornlb.core.runonce.RunOnceEntry;
 import io.hawthornlb.core.runonce.StoreEntries;
-import io.hawthornlb.core.runonce.WitnessTable;
 import java.time.Instant;
 import java.util.List;
 
 /** Stores entries at the witnesses of one epoch, this instance among them. */
-final class WitnessClient {
+final class ReplicaClient {
 
   private final InstanceId self;
   private final PartitionId partition;
   private final Epoch epoch;
-  private final WitnessTable table;
+  private final ReplicaTable table;
   private final List<InstanceId> witnesses;
   private final int tolerance;
   private Epoch settled;
 
-  WitnessClient(
+  ReplicaClient(
       InstanceId self,
       PartitionId partition,
       Epoch epoch,
-      WitnessTable table,
+      ReplicaTable table,
       List<InstanceId> witnesses,
       int tolerance) {
     this.self = self;
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/support/WitnessRecovery.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/support/ReplicaRecovery.java
@@ -6,10 +6,10 @@
 import io.hawthornlb.core.model.InstanceId;
 import io.hawthornlb.core.model.PartitionId;
 import io.hawthornlb.core.runonce.FenceAndCollect;
+import io.hawthornlb.core.runonce.ReplicaContents;
+import io.hawthornlb.core.runonce.ReplicaSet;
+import io.hawthornlb.core.runonce.ReplicaTable;
 import io.hawthornlb.core.runonce.RunOnceEntry;
-import io.hawthornlb.core.runonce.WitnessContents;
-import io.hawthornlb.core.runonce.WitnessSet;
-import io.hawthornlb.core.runonce.WitnessTable;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayList;
@@ -21,23 +21,23 @@
 import java.util.Set;
 
 /** Fences the witnesses of earlier epochs and collects from enough of each epoch what they keep. */
-final class WitnessRecovery {
+final class ReplicaRecovery {
 
   private final InstanceId self;
   private final PartitionId partition;
   private final Epoch epoch;
-  private final WitnessTable table;
-  private final Map<Epoch, WitnessSet> unresolved = new LinkedHashMap<>();
+  private final ReplicaTable table;
+  private final Map<Epoch, ReplicaSet> unresolved = new LinkedHashMap<>();
   private final Map<Source, List<RunOnceEntry>> collected = new HashMap<>();
   private final Map<Epoch, Set<InstanceId>> delivered = new HashMap<>();
   private Instant askedAt = Instant.MIN;
 
-  WitnessRecovery(
+  ReplicaRecovery(
       InstanceId self,
       PartitionId partition,
       Epoch epoch,
-      WitnessTable table,
-      List<WitnessSet> sets) {
+      ReplicaTable table,
+      List<ReplicaSet> sets) {
     this.self = self;
     this.partition = partition;
     this.epoch = epoch;
@@ -45,14 +45,14 @@
     sets.forEach(set -> unresolved.put(set.epoch(), set));
   }
 
-  List<WitnessSet> unresolved() {
+  List<ReplicaSet> unresolved() {
     return List.copyOf(unresolved.values());
   }
 
   /** Collects what this instance keeps itself. */
   List<RunOnceEntry> collectOwn() {
     List<RunOnceEntry> entries = new ArrayList<>();
-    for (WitnessSet set : unresolved()) {
+    for (ReplicaSet set : unresolved()) {
       if (set.members().contains(self) && !hasDelivered(self, set.epoch())) {
         entries.addAll(own(set.epoch()));
         deliver(self, set);
@@ -67,7 +67,7 @@
       return;
     }
     askedAt = now;
-    for (WitnessSet set : unresolved.values()) {
+    for (ReplicaSet set : unresolved.values()) {
       set.members().stream()
           .filter(member -> !hasDelivered(member, set.epoch()))
           .forEach(member -> out.add(question(member, set.epoch())));
@@ -75,8 +75,8 @@
   }
 
   /** Takes an answer; returns all entries of a witness once it has handed them over. */
-  List<RunOnceEntry> collected(WitnessContents contents, List<Effect> out) {
-    WitnessSet set = unresolved.get(contents.oldEpoch());
+  List<RunOnceEntry> collected(ReplicaContents contents, List<Effect> out) {
+    ReplicaSet set = unresolved.get(contents.oldEpoch());
     boolean asked = set != null && set.members().contains(contents.witness());
     if (!asked || !contents.epoch().equals(epoch)) {
       return List.of();
@@ -100,7 +100,7 @@
     return delivered.getOrDefault(oldEpoch, Set.of()).contains(member);
   }
 
-  private void deliver(InstanceId member, WitnessSet set) {
+  private void deliver(InstanceId member, ReplicaSet set) {
     Set<InstanceId> members = delivered.computeIfAbsent(set.epoch(), id -> new HashSet<>());
     members.add(member);
     if (members.size() > set.tolerance()) {
@@ -110,7 +110,7 @@
 
   private List<RunOnceEntry> own(Epoch oldEpoch) {
     List<RunOnceEntry> entries = new ArrayList<>();
-    WitnessContents page;
+    ReplicaContents page;
     do {
       page = table.fence(new FenceAndCollect(self, partition, epoch, oldEpoch, entries.size()));
       entries.addAll(page.entries());
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/support/RunOnceFold.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/support/RunOnceFold.java
@@ -9,11 +9,11 @@
 import io.hawthornlb.core.runonce.EntriesRecorded;
 import io.hawthornlb.core.runonce.EntryState;
 import io.hawthornlb.core.runonce.KeyState;
+import io.hawthornlb.core.runonce.ReplicasNamed;
+import io.hawthornlb.core.runonce.ReplicasReleased;
 import io.hawthornlb.core.runonce.RunOnceDirectory;
 import io.hawthornlb.core.runonce.RunOnceEntry;
 import io.hawthornlb.core.runonce.RunOnceKey;
-import io.hawthornlb.core.runonce.WitnessesNamed;
-import io.hawthornlb.core.runonce.WitnessesReleased;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayList;
@@ -34,7 +34,7 @@
   private static final Duration EXPIRY_INTERVAL = Duration.ofMinutes(1);
 
   private final Map<HashValue128, Slot> slots = new HashMap<>();
-  private @Nullable WitnessesNamed witnesses;
+  private @Nullable ReplicasNamed replicasNamed;
   private boolean released;
   private Instant expiredAt = Instant.EPOCH;
 
@@ -48,11 +48,11 @@
       for (int i = 0; i < recorded.entries().size(); i++) {
         merge(recorded.entries().get(i), entry, i);
       }
-    } else if (entry.body() instanceof WitnessesNamed named) {
-      witnesses = named;
+    } else if (entry.body() instanceof ReplicasNamed named) {
+      replicasNamed = named;
       released = false;
-    } else if (entry.body() instanceof WitnessesReleased end) {
-      released = witnesses != null && witnesses.epoch().equals(end.epoch());
+    } else if (entry.body() instanceof ReplicasReleased end) {
+      released = replicasNamed != null && replicasNamed.epoch().equals(end.epoch());
     }
   }
 
@@ -67,8 +67,8 @@
   }
 
   @Override
-  public Optional<WitnessesNamed> witnesses() {
-    return Optional.ofNullable(witnesses);
+  public Optional<ReplicasNamed> replicasNamed() {
+    return Optional.ofNullable(replicasNamed);
   }
 
   @Override
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/support/Runs.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/support/Runs.java
@@ -71,7 +71,7 @@
   }
 
   /** Returns how long entries wait for others: longer while witnesses make them durable first. */
-  Duration logDelay(WitnessClient client) {
+  Duration logDelay(ReplicaClient client) {
     return client.usable() && witnessesAnswer ? settings.followDelay() : settings.groupDelay();
   }
 
@@ -98,7 +98,7 @@
   }
 
   /** Takes notice that witnesses keep entries. */
-  void stored(EntriesStored answer, WitnessClient client, Instant now, List<Effect> out) {
+  void stored(EntriesStored answer, ReplicaClient client, Instant now, List<Effect> out) {
     for (EntryMark mark : answer.stored()) {
       Run run = runs.get(mark.key());
       boolean meant = run != null && EntryMark.of(run.entry()).equals(mark);
@@ -113,7 +113,7 @@
   }
 
   /** Takes notice that entries stand in the log. */
-  void seen(List<RunOnceEntry> entries, WitnessClient client, Instant now, List<Effect> out) {
+  void seen(List<RunOnceEntry> entries, ReplicaClient client, Instant now, List<Effect> out) {
     List<RunOnceEntry> ended = new ArrayList<>();
     for (RunOnceEntry entry : entries) {
       Run run = runs.get(entry.key());
@@ -129,7 +129,7 @@
   }
 
   void answered(
-      CallAnswered answer, @Nullable WitnessClient client, Instant now, List<Effect> out) {
+      CallAnswered answer, @Nullable ReplicaClient client, Instant now, List<Effect> out) {
     Run run = running(answer.key(), answer.attempt());
     if (run != null) {
       end(run, run.entry().completed(answer.result()), client, now, out);
@@ -137,7 +137,7 @@
   }
 
   void notStarted(
-      CallNotStarted answer, @Nullable WitnessClient client, Instant now, List<Effect> out) {
+      CallNotStarted answer, @Nullable ReplicaClient client, Instant now, List<Effect> out) {
     Run run = running(answer.key(), answer.attempt());
     if (run == null) {
       return;
@@ -148,7 +148,7 @@
     end(run, run.entry().ended(EntryState.ABANDONED, "not dispatched"), client, now, out);
   }
 
-  void failed(CallFailed failure, @Nullable WitnessClient client, Instant now, List<Effect> out) {
+  void failed(CallFailed failure, @Nullable ReplicaClient client, Instant now, List<Effect> out) {
     Run run = running(failure.key(), failure.attempt());
     if (run != null) {
       end(run, run.entry().ended(EntryState.UNKNOWN, failure.cause()), client, now, out);
@@ -175,7 +175,7 @@
     late.send(opened, now, out);
   }
 
-  void sweep(@Nullable WitnessClient client, Instant now, List<Effect> out) {
+  void sweep(@Nullable ReplicaClient client, Instant now, List<Effect> out) {
     if (sweptAt.plus(SWEEP_INTERVAL).isAfter(now)) {
       return;
     }
@@ -190,7 +190,7 @@
     }
   }
 
-  private void sweep(Run run, @Nullable WitnessClient client, Instant now, List<Effect> out) {
+  private void sweep(Run run, @Nullable ReplicaClient client, Instant now, List<Effect> out) {
     if (run.phase() == Run.Phase.ENDED) {
       boolean held = run.endedAt().plus(settings.outcomeHold()).isAfter(now);
       if (!held) {
@@ -205,7 +205,7 @@
   }
 
   private void sweepStoring(
-      Run run, @Nullable WitnessClient client, Instant now, List<Effect> out) {
+      Run run, @Nullable ReplicaClient client, Instant now, List<Effect> out) {
     if (run.createdAt().plus(WITNESS_PATIENCE).isBefore(now)) {
       witnessesAnswer = false;
     }
@@ -218,7 +218,7 @@
     }
   }
 
-  private List<Run> toResend(WitnessClient client, Instant now) {
+  private List<Run> toResend(ReplicaClient client, Instant now) {
     return runs.values().stream()
         .filter(run -> run.phase() != Run.Phase.RUNNING && run.isOffered())
         .filter(run -> !client.stored(run))
@@ -294,7 +294,7 @@
     }
   }
 
-  private void durable(Run run, WitnessClient client, Instant now, List<Effect> out) {
+  private void durable(Run run, ReplicaClient client, Instant now, List<Effect> out) {
     if (run.phase() == Run.Phase.ENDED) {
       run.answerAll(out);
     } else if (run.phase() == Run.Phase.STORING && run.request().deadline().isAfter(now)) {
@@ -306,7 +306,7 @@
   }
 
   private void end(
-      Run run, RunOnceEntry ended, @Nullable WitnessClient client, Instant now, List<Effect> out) {
+      Run run, RunOnceEntry ended, @Nullable ReplicaClient client, Instant now, List<Effect> out) {
     run.end(ended, now);
     resultBytes += run.resultBytes();
     if (ended.state() != EntryState.COMPLETED || client == null) {
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/harness/Node.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/harness/Node.java
@@ -35,6 +35,7 @@
 import io.hawthornlb.core.runonce.OutcomeRead;
 import io.hawthornlb.core.runonce.OutcomeUnreadable;
 import io.hawthornlb.core.runonce.ReadOutcome;
+import io.hawthornlb.core.runonce.ReplicaTable;
 import io.hawthornlb.core.runonce.RunCall;
 import io.hawthornlb.core.runonce.RunOnceAdvanced;
 import io.hawthornlb.core.runonce.RunOnceAnswered;
@@ -44,11 +45,10 @@
 import io.hawthornlb.core.runonce.RunOnceRequest;
 import io.hawthornlb.core.runonce.RunOnceTick;
 import io.hawthornlb.core.runonce.StoreEntries;
-import io.hawthornlb.core.runonce.WitnessTable;
 import io.hawthornlb.core.runonce.support.DefaultRunOnceCoordinator;
 import io.hawthornlb.core.runonce.support.DefaultRunOnceForwarder;
+import io.hawthornlb.core.runonce.support.InMemoryReplicaTable;
 import io.hawthornlb.core.runonce.support.RunOnceFold;
-import io.hawthornlb.core.runonce.support.SimpleWitnessTable;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayList;
@@ -68,7 +68,7 @@
   private final JobFold jobFold = new JobFold(true);
   private final RunOnceFold runOnceFold = new RunOnceFold();
   private final PartitionFold fold;
-  private final WitnessTable table;
+  private final ReplicaTable table;
   private final DefaultHeldPartition held;
   private final RunOnceCoordinator runOnce;
   private final JobCoordinator jobs;
@@ -86,8 +86,8 @@
   Node(InstanceId id, Cluster cluster, NodeParts parts) {
     this.id = id;
     this.cluster = cluster;
-    WitnessTable fenced = new SimpleWitnessTable(id, 1 << 22);
-    this.table = parts.variant() == Variant.WITHOUT_FENCE ? new UnfencedWitnessTable(id) : fenced;
+    ReplicaTable fenced = new InMemoryReplicaTable(id, 1 << 22);
+    this.table = parts.variant() == Variant.WITHOUT_FENCE ? new UnfencedReplicaTable(id) : fenced;
     RecordIdSource ids = new RecordIdSource(id);
     Duration retention = parts.jobs().logRetention();
     this.fold = new DefaultPartitionFold(0, retention, List.of(jobFold, runOnceFold));
@@ -120,7 +120,7 @@
     return steward;
   }
 
-  public WitnessTable table() {
+  public ReplicaTable table() {
     return table;
   }
 
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/harness/UnfencedWitnessTable.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/harness/UnfencedReplicaTable.java
@@ -7,11 +7,11 @@
 import io.hawthornlb.core.runonce.EntryMark;
 import io.hawthornlb.core.runonce.FenceAndCollect;
 import io.hawthornlb.core.runonce.ForgetEntries;
+import io.hawthornlb.core.runonce.ReplicaContents;
+import io.hawthornlb.core.runonce.ReplicaTable;
 import io.hawthornlb.core.runonce.RunOnceEntry;
 import io.hawthornlb.core.runonce.RunOnceKey;
 import io.hawthornlb.core.runonce.StoreEntries;
-import io.hawthornlb.core.runonce.WitnessContents;
-import io.hawthornlb.core.runonce.WitnessTable;
 import java.time.Instant;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -19,12 +19,12 @@
 import java.util.Map;
 
 /** The witness table with its guard out: it hands over entries but fences nobody. */
-final class UnfencedWitnessTable implements WitnessTable {
+final class UnfencedReplicaTable implements ReplicaTable {
 
   private final InstanceId self;
   private final Map<Epoch, Map<RunOnceKey, RunOnceEntry>> epochs = new HashMap<>();
 
-  UnfencedWitnessTable(InstanceId self) {
+  UnfencedReplicaTable(InstanceId self) {
     this.self = self;
   }
 
@@ -41,10 +41,10 @@
   public void forget(ForgetEntries message) {}
 
   @Override
-  public WitnessContents fence(FenceAndCollect question) {
+  public ReplicaContents fence(FenceAndCollect question) {
     List<RunOnceEntry> entries =
         List.copyOf(epochs.getOrDefault(question.oldEpoch(), Map.of()).values());
-    return new WitnessContents(
+    return new ReplicaContents(
         self,
         question.partition(),
         question.epoch(),
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/partition/PartitionFoldTest.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/partition/PartitionFoldTest.java
@@ -12,7 +12,7 @@
 import io.hawthornlb.core.model.Epoch;
 import io.hawthornlb.core.model.InstanceId;
 import io.hawthornlb.core.partition.support.DefaultPartitionFold;
-import io.hawthornlb.core.runonce.WitnessesNamed;
+import io.hawthornlb.core.runonce.ReplicasNamed;
 import io.hawthornlb.core.runonce.support.RunOnceFold;
 import java.time.Duration;
 import java.time.Instant;
@@ -38,7 +38,7 @@
     PartitionFold fold = new DefaultPartitionFold(0, RETENTION, List.of(section));
     applyNamings(fold);
 
-    assertEquals(new Epoch(2), section.witnesses().orElseThrow().epoch());
+    assertEquals(new Epoch(2), section.replicasNamed().orElseThrow().epoch());
     assertEquals(SECOND, fold.opened().orElseThrow().holder());
   }
 
@@ -46,7 +46,7 @@
   void withoutEpochsTheLateRecordCounts() {
     applyNamings(new UnfencedPartitionFold(List.of(section)));
 
-    assertEquals(new Epoch(1), section.witnesses().orElseThrow().epoch());
+    assertEquals(new Epoch(1), section.replicasNamed().orElseThrow().epoch());
   }
 
   // A partition stands still for good: the opening of a holder that was paused before it reached
@@ -67,7 +67,7 @@
     PartitionFold fold = new DefaultPartitionFold(100, RETENTION, List.of(section));
     offset = 100;
     apply(fold, named(2));
-    assertTrue(section.witnesses().isEmpty());
+    assertTrue(section.replicasNamed().isEmpty());
     apply(fold, new SnapshotCompleted(new Epoch(2), 90));
     apply(fold, new PartitionOpened(new Epoch(2), SECOND));
     apply(fold, new SnapshotCompleted(new Epoch(2), 90));
@@ -96,9 +96,9 @@
     apply(fold, named(1));
   }
 
-  private static WitnessesNamed named(long epoch) {
+  private static ReplicasNamed named(long epoch) {
     InstanceId holder = epoch == 1 ? FIRST : SECOND;
-    return new WitnessesNamed(new Epoch(epoch), holder, List.of(), 0, List.of(), Optional.empty());
+    return new ReplicasNamed(new Epoch(epoch), holder, List.of(), 0, List.of(), Optional.empty());
   }
 
   private void apply(PartitionFold fold, RecordBody body) {
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/runonce/RunOnceScenario.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/runonce/RunOnceScenario.java
@@ -152,7 +152,7 @@
         && nodes
             .get(holder)
             .runOnceFold()
-            .witnesses()
+            .replicasNamed()
             .filter(named -> named.holder().equals(nodes.get(holder).id()))
             .isPresent();
   }
--- a/hawthornlb-net/src/main/java/io/hawthornlb/net/codec/PartitionTypes.java
+++ b/hawthornlb-net/src/main/java/io/hawthornlb/net/codec/PartitionTypes.java
@@ -26,11 +26,11 @@
 import io.hawthornlb.core.runonce.ForgetEntries;
 import io.hawthornlb.core.runonce.ForwardRunOnce;
 import io.hawthornlb.core.runonce.LateOutcome;
+import io.hawthornlb.core.runonce.ReplicaContents;
+import io.hawthornlb.core.runonce.ReplicasNamed;
+import io.hawthornlb.core.runonce.ReplicasReleased;
 import io.hawthornlb.core.runonce.RunOnceAnswered;
 import io.hawthornlb.core.runonce.StoreEntries;
-import io.hawthornlb.core.runonce.WitnessContents;
-import io.hawthornlb.core.runonce.WitnessesNamed;
-import io.hawthornlb.core.runonce.WitnessesReleased;
 
 /** Names of the records and messages of partitions; a name never changes its meaning. */
 public final class PartitionTypes {
@@ -49,8 +49,8 @@
         .register("items-started", ItemsStarted.class)
         .register("item-outcomes", ItemOutcomes.class)
         .register("run-once-entries", EntriesRecorded.class)
-        .register("witnesses-named", WitnessesNamed.class)
-        .register("witnesses-released", WitnessesReleased.class);
+        .register("witnesses-named", ReplicasNamed.class)
+        .register("witnesses-released", ReplicasReleased.class);
   }
 
   /** Adds the messages between holders, stewards, witnesses and other entries. */
@@ -73,7 +73,7 @@
         .register("entries-stored", EntriesStored.class)
         .register("forget-entries", ForgetEntries.class)
         .register("fence-and-collect", FenceAndCollect.class)
-        .register("witness-contents", WitnessContents.class)
+        .register("witness-contents", ReplicaContents.class)
         .register("late-outcome", LateOutcome.class);
   }
 }
--- a/hawthornlb-net/src/test/java/io/hawthornlb/net/codec/PartitionTypesTest.java
+++ b/hawthornlb-net/src/test/java/io/hawthornlb/net/codec/PartitionTypesTest.java
@@ -42,6 +42,9 @@
 import io.hawthornlb.core.runonce.EntryMark;
 import io.hawthornlb.core.runonce.EntryState;
 import io.hawthornlb.core.runonce.ForwardRunOnce;
+import io.hawthornlb.core.runonce.ReplicaContents;
+import io.hawthornlb.core.runonce.ReplicaSet;
+import io.hawthornlb.core.runonce.ReplicasNamed;
 import io.hawthornlb.core.runonce.RunOnceAnswer;
 import io.hawthornlb.core.runonce.RunOnceAnswered;
 import io.hawthornlb.core.runonce.RunOnceEntry;
@@ -51,9 +54,6 @@
 import io.hawthornlb.core.runonce.ServiceResult;
 import io.hawthornlb.core.runonce.StopPoint;
 import io.hawthornlb.core.runonce.StoreEntries;
-import io.hawthornlb.core.runonce.WitnessContents;
-import io.hawthornlb.core.runonce.WitnessSet;
-import io.hawthornlb.core.runonce.WitnessesNamed;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.List;
@@ -102,12 +102,12 @@
                         List.of(new ItemAttempts(1, 2)))),
                 Optional.empty()),
             new EntriesRecorded(EPOCH, List.of(INTENT, DONE)),
-            new WitnessesNamed(
+            new ReplicasNamed(
                 EPOCH,
                 SELF,
                 List.of(SELF),
                 0,
-                List.of(new WitnessSet(EPOCH, List.of(SELF), 0)),
+                List.of(new ReplicaSet(EPOCH, List.of(SELF), 0)),
                 Optional.of(AT)));
 
     bodies.forEach(body -> assertEquals(Optional.of(body), codec.decode(codec.encode(body))));
@@ -163,7 +163,7 @@
                 request, EPOCH, Optional.of(RunOnceAnswer.stopped(StopPoint.RECOVERING, false))),
             new StoreEntries(SELF, PARTITION, EPOCH, Epoch.NONE, List.of(INTENT)),
             new EntriesStored(SELF, PARTITION, EPOCH, List.of(EntryMark.of(INTENT)), EPOCH),
-            new WitnessContents(SELF, PARTITION, EPOCH, EPOCH, 0, List.of(DONE), false));
+            new ReplicaContents(SELF, PARTITION, EPOCH, EPOCH, 0, List.of(DONE), false));
 
     messages.forEach(
         message -> assertEquals(Optional.of(message), codec.decode(codec.encode(message))));
