--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/AnswerCaller.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/AnswerCaller.java
@@ -4,9 +4,9 @@
 import io.hawthornlb.core.model.RequestId;
 
 /**
- * Asks for the final answer to be given to a caller.
+ * Effect that delivers the final answer of a request to its caller.
  *
- * @param id the request
- * @param answer the answer
+ * @param id identifies the request
+ * @param answer the answer to deliver
  */
 public record AnswerCaller(RequestId id, RunOnceAnswer answer) implements Effect {}
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/Drain.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/Drain.java
@@ -1,4 +1,7 @@
 package io.hawthornlb.core.runonce;
 
-/** Asks to take nothing new and to bring everything into the log, before a release of the claim. */
+/**
+ * Event: the coordinator is to accept no new requests and to append every pending entry to the log,
+ * so that the claim can be released.
+ */
 public record Drain() implements RunOnceEvent {}
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/EntriesRecorded.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/EntriesRecorded.java
@@ -5,15 +5,17 @@
 import java.util.List;
 
 /**
- * Intents and outcomes in one append: new ones, those recovered from witnesses, and those repeated
- * before they expire in the log.
+ * Log record with intents and outcomes that are appended together.
  *
- * @param epoch the epoch of the holder
- * @param entries the attempts
+ * <p>The record holds new entries, entries recovered from replicas, and entries that are appended
+ * again before the log drops their previous record.
+ *
+ * @param epoch the epoch of the holder that appends the record
+ * @param entries the entries
  */
 public record EntriesRecorded(Epoch epoch, List<RunOnceEntry> entries) implements PartitionRecord {
 
-  /** Copies the entries. */
+  /** Copies the list of entries. */
   public EntriesRecorded {
     entries = List.copyOf(entries);
   }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/EntriesStored.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/EntriesStored.java
@@ -7,19 +7,21 @@
 import java.util.List;
 
 /**
- * Says which entries a witness keeps now.
+ * Reply of a replica to {@link StoreEntries}: which entries the replica keeps now.
  *
- * @param witness the witness
+ * @param witness the replica
  * @param partition the partition
- * @param epoch the epoch that was asked for
- * @param stored what it keeps of the question; entries that it had no room for are missing
- * @param fencedBy the epoch that fences the question, or the epoch itself if none does
+ * @param epoch the epoch of the request
+ * @param stored the entries of the request that the replica keeps; entries for which it has no room
+ *     are missing
+ * @param fencedBy the later epoch because of which the replica refused the request, or the epoch of
+ *     the request if it was accepted
  */
 public record EntriesStored(
     InstanceId witness, PartitionId partition, Epoch epoch, List<EntryMark> stored, Epoch fencedBy)
     implements RunOnceEvent, PeerMessage {
 
-  /** Copies the marks. */
+  /** Copies the list of marks. */
   public EntriesStored {
     stored = List.copyOf(stored);
   }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/EntryState.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/EntryState.java
@@ -1,17 +1,22 @@
 package io.hawthornlb.core.runonce;
 
 /**
- * What is known of one attempt; a later constant replaces an earlier one.
+ * What is known about one attempt; a later constant replaces an earlier one.
  *
- * <p>The order makes the state of an attempt the same in whichever order its records arrive.
+ * <p>Since the constants are ordered, the resulting state of an attempt does not depend on the
+ * order in which its records arrive.
  */
 public enum EntryState {
-  /** It may be running, or have run. */
+  /** The attempt may be running, or may have run. */
   INTENT,
-  /** It had reached an endpoint when it failed; nobody knows what ran. */
+  /**
+   * The attempt failed after it may have reached an endpoint; whether the request ran is unknown.
+   */
   UNKNOWN,
-  /** It was given up before an endpoint had a byte of it; another attempt may run. */
+  /**
+   * The attempt was abandoned before an endpoint received a byte of it; another attempt may run.
+   */
   ABANDONED,
-  /** The endpoint answered; the result is kept. */
+  /** The endpoint responded; its response is stored. */
   COMPLETED
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/FenceAndCollect.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/FenceAndCollect.java
@@ -6,16 +6,16 @@
 import io.hawthornlb.core.peer.PeerMessage;
 
 /**
- * Asks a witness of an earlier epoch to store nothing for it from now on and to hand over what it
- * keeps.
+ * Request to a replica of an earlier epoch: store no more entries for that epoch, and return the
+ * entries kept.
  *
- * <p>Answered by {@link ReplicaContents}.
+ * <p>The replica replies with one page of entries in {@link ReplicaContents}.
  *
- * @param successor the new holder
+ * @param successor the new holder, which sends the request
  * @param partition the partition
  * @param epoch the epoch of the new holder
- * @param oldEpoch the epoch that named the witness
- * @param from how many entries were handed over before
+ * @param oldEpoch the earlier epoch whose entries are collected
+ * @param from the number of entries that the successor has already received from this replica
  */
 public record FenceAndCollect(
     InstanceId successor, PartitionId partition, Epoch epoch, Epoch oldEpoch, int from)
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/ForwardRunOnce.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/ForwardRunOnce.java
@@ -6,16 +6,16 @@
 import io.hawthornlb.core.peer.PeerMessage;
 
 /**
- * Brings a request to the holder of its partition.
+ * Forwards a request to the holder of its partition.
  *
- * <p>Answered by one {@link RunOnceAnswered}, unless the holder is lost.
+ * <p>The holder replies with exactly one {@link RunOnceAnswered}, unless it is lost.
  *
- * @param epoch the epoch of the claim by which the entry knows the holder
- * @param replyTo the entry that asks
- * @param id identifies the question
+ * @param epoch the epoch of the claim from which the entry instance knows the holder
+ * @param replyTo the entry instance, which receives the reply
+ * @param id identifies the request in the reply
  * @param request the request
- * @param firstSend whether nobody can have sent this key before: an entry made it, and this is the
- *     first time that it is sent on
+ * @param firstSend whether this key cannot have been sent before: the entry instance generated the
+ *     key, and this is the first time that it forwards it
  */
 public record ForwardRunOnce(
     Epoch epoch, InstanceId replyTo, RequestId id, RunOnceRequest request, boolean firstSend)
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/KeyState.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/KeyState.java
@@ -3,14 +3,14 @@
 import java.time.Instant;
 
 /**
- * What the log says of a key; results stay in the log.
+ * State of a key as recorded in the log, without the result, which stays in the log.
  *
  * @param fingerprintHash a hash of the fingerprint
  * @param attempt the latest attempt
- * @param state what is known of it
- * @param offset the offset of the {@link EntriesRecorded} record that says so
- * @param position its place in that record
- * @param expiresAt until when the key is remembered
+ * @param state what is known about the attempt
+ * @param offset the offset of the {@link EntriesRecorded} record with this state
+ * @param position the index of the entry in that record
+ * @param expiresAt when the key expires
  */
 public record KeyState(
     long fingerprintHash,
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/OutcomeRead.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/OutcomeRead.java
@@ -1,9 +1,9 @@
 package io.hawthornlb.core.runonce;
 
 /**
- * Hands over a record that was asked for by {@link ReadOutcome}.
+ * Event: a record requested by {@link ReadOutcome} has been read.
  *
- * @param offset its offset
+ * @param offset the offset of the record
  * @param entries the record
  */
 public record OutcomeRead(long offset, EntriesRecorded entries) implements RunOnceEvent {}
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/OutcomeUnreadable.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/OutcomeUnreadable.java
@@ -1,8 +1,8 @@
 package io.hawthornlb.core.runonce;
 
 /**
- * Says that a record can't be read now.
+ * Event: a record requested by {@link ReadOutcome} cannot be read at present.
  *
- * @param offset its offset
+ * @param offset the offset of the record
  */
 public record OutcomeUnreadable(long offset) implements RunOnceEvent {}
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/ReadOutcome.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/ReadOutcome.java
@@ -4,11 +4,11 @@
 import io.hawthornlb.core.log.StreamName;
 
 /**
- * Asks for an {@link EntriesRecorded} record to be read from the log.
+ * Effect that reads an {@link EntriesRecorded} record from the log.
  *
- * <p>Answered by {@link OutcomeRead} or {@link OutcomeUnreadable}.
+ * <p>The adapter reports {@link OutcomeRead} or {@link OutcomeUnreadable}.
  *
- * @param stream the stream
+ * @param stream the stream that holds the record
  * @param offset the offset of the record
  */
 public record ReadOutcome(StreamName stream, long offset) implements Effect {}
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/ReplicaContents.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/ReplicaContents.java
@@ -7,15 +7,16 @@
 import java.util.List;
 
 /**
- * Hands over what a fenced witness keeps of an old epoch.
+ * Reply to {@link FenceAndCollect}: one page of the entries that a fenced replica keeps of an old
+ * epoch.
  *
- * @param witness the witness
+ * @param witness the replica
  * @param partition the partition
  * @param epoch the epoch of the new holder
- * @param oldEpoch the epoch whose entries these are
- * @param from how many entries were handed over before
- * @param entries the next entries
- * @param more whether there are further ones
+ * @param oldEpoch the epoch to which the entries belong
+ * @param from the number of entries in the pages before this one
+ * @param entries the entries of this page
+ * @param more whether further pages follow
  */
 public record ReplicaContents(
     InstanceId witness,
@@ -27,7 +28,7 @@
     boolean more)
     implements RunOnceEvent, PeerMessage {
 
-  /** Copies the entries. */
+  /** Copies the list of entries. */
   public ReplicaContents {
     entries = List.copyOf(entries);
   }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/ReplicaTable.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/ReplicaTable.java
@@ -5,25 +5,31 @@
 import java.time.Instant;
 
 /**
- * Keeps entries of other holders, and of this instance's own partitions, in memory until they stand
- * in the log.
+ * Keeps entries of other holders, and of the partitions that this instance holds, in memory until
+ * they are in the log.
  *
- * <p>Bounded: an entry for which there is no room is not stored, and none is dropped for another.
+ * <p>The table is bounded. It does not store an entry for which it has no room, and it never evicts
+ * one entry for another.
  */
 public interface ReplicaTable {
 
-  /** Stores what the epoch of the question still may and returns what is kept. */
-  EntriesStored store(StoreEntries question, Instant now);
+  /**
+   * Stores the entries of a request unless its epoch is fenced, and returns which of them are kept.
+   */
+  EntriesStored store(StoreEntries request, Instant now);
 
-  /** Drops entries that stand in the log. */
+  /** Drops entries that are in the log. */
   void forget(ForgetEntries message);
 
-  /** Fences the older epochs and returns what is kept of the one that is asked for. */
-  ReplicaContents fence(FenceAndCollect question);
+  /**
+   * Refuses entries of epochs older than the one of the request from now on, and returns a page of
+   * the kept entries of its old epoch.
+   */
+  ReplicaContents fence(FenceAndCollect request);
 
-  /** Returns the lowest epoch that may still store entries of a partition. */
+  /** Returns the lowest epoch whose holder may still store entries of a partition. */
   Epoch fence(PartitionId partition);
 
-  /** Returns the number of entries. */
+  /** Returns the number of kept entries. */
   int size();
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/ReplicasNamed.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/ReplicasNamed.java
@@ -9,17 +9,19 @@
 import java.util.Optional;
 
 /**
- * Says that every intent of earlier epochs stands before this record, but for those that are named
- * as unresolved, and names the witnesses of this epoch.
+ * Log record that names the replicas of an epoch.
  *
- * <p>A holder runs nothing before it has seen its own record of this type.
+ * <p>Every intent of earlier epochs precedes this record in the log, except for the epochs listed
+ * as unresolved. A holder runs no request before it has read its own record of this type.
  *
  * @param epoch the epoch of the holder
- * @param holder the holder, which is a witness itself
- * @param witnesses the other witnesses; with none, intents are durable in the log only
- * @param tolerance how many of them, the holder included, may be silent when an intent is stored
- * @param unresolved earlier epochs of which too few witnesses could be asked
- * @param unknownUntil until when a key that is not known may have run under one of them
+ * @param holder the holder, which is itself a member of the replica set
+ * @param witnesses the other replicas; if empty, intents are durable in the log only
+ * @param tolerance the number of members, including the holder, that may fail to respond when an
+ *     intent is stored
+ * @param unresolved replica sets of earlier epochs of which too few members could be reached
+ * @param unknownUntil the time until which a key that is not in the log may have run under an
+ *     unresolved epoch
  */
 public record ReplicasNamed(
     Epoch epoch,
@@ -36,7 +38,7 @@
     unresolved = List.copyOf(unresolved);
   }
 
-  /** Returns the witnesses of this epoch, the holder among them. */
+  /** Returns the replica set of this epoch, including the holder. */
   public ReplicaSet set() {
     if (witnesses.isEmpty()) {
       return new ReplicaSet(epoch, List.of(), 0);
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/ReplicasReleased.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/ReplicasReleased.java
@@ -4,8 +4,8 @@
 import io.hawthornlb.core.partition.PartitionRecord;
 
 /**
- * Says that the holder has stopped and that every intent of its epoch stands in the log, so that
- * the next holder need not ask its witnesses.
+ * Log record that states that the holder has stopped and that every intent of its epoch is in the
+ * log, so that the next holder need not contact its replicas.
  *
  * @param epoch the epoch of the holder
  */
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/RunCall.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/RunCall.java
@@ -4,13 +4,14 @@
 import io.hawthornlb.core.model.PartitionId;
 
 /**
- * Asks for a call to be made once, whose intent is durable.
+ * Effect that makes a call whose intent is durable. The call runs at most once.
  *
- * <p>Answered by exactly one of {@link CallAnswered}, {@link CallNotStarted} and {@link
- * CallFailed}. The adapter may try several endpoints as long as none has had a byte of it.
+ * <p>The adapter reports exactly one of {@link CallAnswered}, {@link CallNotStarted} and {@link
+ * CallFailed}. It may try several endpoints as long as none of them has received a byte of the
+ * call.
  *
- * @param partition the partition that decides for it
- * @param attempt names the attempt
+ * @param partition the partition that is responsible for the request
+ * @param attempt identifies the attempt
  * @param request the request
  */
 public record RunCall(PartitionId partition, AttemptId attempt, RunOnceRequest request)
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/RunOnceAdvanced.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/RunOnceAdvanced.java
@@ -1,4 +1,4 @@
 package io.hawthornlb.core.runonce;
 
-/** Says that the fold of the partition has applied further records. */
+/** Event: the fold of the partition has applied further records. */
 public record RunOnceAdvanced() implements RunOnceEvent {}
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/RunOnceAnswer.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/RunOnceAnswer.java
@@ -6,27 +6,33 @@
 import java.util.Optional;
 
 /**
- * What the caller is told: a result, or a refusal with the point where the request stopped.
+ * Answer to the caller: a result, or a refusal with the point at which the request stopped.
  *
- * @param result the answer of the endpoint
- * @param stopPoint where the request stopped
- * @param refusal the reason
+ * @param result the response of the endpoint
+ * @param stopPoint the point at which the request stopped
+ * @param refusal the refusal to return to the caller
  */
 public record RunOnceAnswer(
     Optional<ServiceResult> result, Optional<StopPoint> stopPoint, Optional<Refusal> refusal) {
 
-  /** Checks that there is either a result or a refusal. */
+  /** Checks that there is either a result or a refusal, and a stop point exactly with a refusal. */
   public RunOnceAnswer {
-    Checks.isTrue(result.isPresent() != refusal.isPresent(), "either a result or a refusal");
-    Checks.isTrue(stopPoint.isPresent() == refusal.isPresent(), "a refusal has its stop point");
+    Checks.isTrue(
+        result.isPresent() != refusal.isPresent(), "an answer has either a result or a refusal");
+    Checks.isTrue(
+        stopPoint.isPresent() == refusal.isPresent(),
+        "an answer has a stop point exactly if it has a refusal");
   }
 
-  /** Returns the answer with a result. */
+  /** Returns an answer with a result. */
   public static RunOnceAnswer of(ServiceResult result) {
     return new RunOnceAnswer(Optional.of(result), Optional.empty(), Optional.empty());
   }
 
-  /** Returns the answer to a request that stopped before its dispatch, for a reason of its own. */
+  /**
+   * Returns the answer to a request that was not dispatched, with the given reason in place of the
+   * default reason of {@link StopPoint#NOT_DISPATCHED}.
+   */
   public static RunOnceAnswer notDispatched(RefusalReason reason) {
     Refusal standard = StopPoint.NOT_DISPATCHED.refusal(true);
     Refusal refusal =
@@ -37,10 +43,10 @@
   }
 
   /**
-   * Returns the answer to a request that stopped.
+   * Returns the answer to a request that stopped without a result.
    *
-   * @param point where it stopped
-   * @param firstSend whether nobody can have sent the key before
+   * @param point the point at which the request stopped
+   * @param firstSend whether the key cannot have been sent before
    */
   public static RunOnceAnswer stopped(StopPoint point, boolean firstSend) {
     Refusal refusal = point.refusal(firstSend);
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/RunOnceAnswered.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/RunOnceAnswered.java
@@ -6,12 +6,12 @@
 import java.util.Optional;
 
 /**
- * The holder's answer to a {@link ForwardRunOnce}.
+ * Reply of a holder to a {@link ForwardRunOnce}.
  *
- * @param id identifies the question
- * @param epoch the epoch of the question
- * @param answer what the caller is told, or empty if this instance has run nothing for the question
- *     and never will, so that the current holder is to be asked
+ * @param id identifies the forwarded request
+ * @param epoch the epoch of the forwarded request
+ * @param answer the answer for the caller; empty if this instance has run nothing for the request
+ *     and never will, so that the entry instance can forward the request to the current holder
  */
 public record RunOnceAnswered(RequestId id, Epoch epoch, Optional<RunOnceAnswer> answer)
     implements PeerMessage {}
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/RunOnceCoordinator.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/RunOnceCoordinator.java
@@ -5,15 +5,18 @@
 import java.util.List;
 
 /**
- * Decides for the run-once requests of one partition while this instance holds it.
+ * Handles the run-once requests of one partition while this instance holds the partition.
  *
- * <p>Deterministic and confined to one thread.
+ * <p>Implementations are deterministic and are confined to one thread.
  */
 public interface RunOnceCoordinator {
 
-  /** Takes an event and returns what is to be done. */
+  /** Handles an event and returns the effects to perform. */
   List<Effect> on(RunOnceEvent event, Instant now);
 
-  /** Returns whether nothing is left that is not in the log; true for an instance that may stop. */
+  /**
+   * Returns whether draining has ended: every entry is in the log and the replicas are released, so
+   * that the instance may stop.
+   */
   boolean drained();
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/RunOnceDirectory.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/RunOnceDirectory.java
@@ -2,21 +2,21 @@
 
 import java.util.Optional;
 
-/** The run-once requests of a partition as far as its stream has been folded. */
+/** Run-once state of a partition, as far as its stream has been folded. */
 public interface RunOnceDirectory {
 
-  /** Returns what is known of a key, or empty if it is unknown or has expired. */
+  /** Returns the state of a key, or empty if the key is unknown or has expired. */
   Optional<KeyState> key(RunOnceKey key);
 
-  /** Returns whether a key has this fingerprint. */
+  /** Returns whether a key was recorded with this fingerprint. */
   boolean sameContent(KeyState state, String fingerprint);
 
-  /** Returns the last record that named witnesses. */
+  /** Returns the last record that named the replicas of an epoch. */
   Optional<ReplicasNamed> replicasNamed();
 
-  /** Returns whether the holder that named the witnesses has released them since. */
+  /** Returns whether the holder that appended this record has released its replicas since. */
   boolean released();
 
-  /** Returns the number of remembered keys. */
+  /** Returns the number of keys that have not expired. */
   int size();
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/RunOnceEntry.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/RunOnceEntry.java
@@ -5,15 +5,15 @@
 import java.util.Optional;
 
 /**
- * What is kept of one attempt, in the log and at witnesses.
+ * State of one attempt, as stored in the log and at replicas.
  *
- * @param key names the request
- * @param fingerprint a hash of its content
- * @param attempt names the attempt
- * @param state what is known of it
- * @param result the answer of the endpoint, if it completed
- * @param cause why it did not, if that is known; otherwise empty
- * @param expiresAt until when the key is remembered
+ * @param key the key of the request
+ * @param fingerprint a hash of the content of the request
+ * @param attempt identifies the attempt
+ * @param state what is known about the attempt
+ * @param result the response of the endpoint; present exactly if the attempt completed
+ * @param cause why the attempt did not complete, or empty if it did or if the cause is unknown
+ * @param expiresAt when the key expires
  */
 public record RunOnceEntry(
     RunOnceKey key,
@@ -24,24 +24,28 @@
     String cause,
     Instant expiresAt) {
 
-  /** Checks that a completed attempt has a result. */
+  /** Checks that exactly a completed attempt has a result. */
   public RunOnceEntry {
     boolean completed = state == EntryState.COMPLETED;
-    Checks.isTrue(completed == result.isPresent(), "exactly completed attempts have a result");
+    Checks.isTrue(
+        completed == result.isPresent(), "an entry has a result exactly if its attempt completed");
   }
 
-  /** Returns this attempt with its result. */
+  /** Returns the entry of this attempt after it completed with a response. */
   public RunOnceEntry completed(ServiceResult answer) {
     return new RunOnceEntry(
         key, fingerprint, attempt, EntryState.COMPLETED, Optional.of(answer), "", expiresAt);
   }
 
-  /** Returns this attempt, ended without a result. */
+  /** Returns the entry of this attempt after it ended without a result. */
   public RunOnceEntry ended(EntryState end, String why) {
     return new RunOnceEntry(key, fingerprint, attempt, end, Optional.empty(), why, expiresAt);
   }
 
-  /** Returns whether this says more than another entry of the same key. */
+  /**
+   * Returns whether this entry replaces another entry of the same key: it belongs to a later
+   * attempt, or to the same attempt in a later state.
+   */
   public boolean supersedes(RunOnceEntry other) {
     int order = attempt.compareTo(other.attempt);
     return order > 0 || order == 0 && state.compareTo(other.state) > 0;
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/RunOnceEvent.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/RunOnceEvent.java
@@ -1,4 +1,4 @@
 package io.hawthornlb.core.runonce;
 
-/** What a run-once coordinator reacts to. */
+/** Event that a {@link RunOnceCoordinator} handles. */
 public interface RunOnceEvent {}
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/RunOnceForwarder.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/RunOnceForwarder.java
@@ -6,19 +6,23 @@
 import java.util.List;
 
 /**
- * Brings run-once requests of callers to the holders of their partitions and the answers back.
+ * Forwards run-once requests of callers to the holders of their partitions and returns the answers.
  *
- * <p>Every entry has one. It asks again when the holder changes or stays silent, and answers by
- * {@link AnswerCaller} exactly once a request, by its deadline at the latest.
+ * <p>Every entry instance has one forwarder. The forwarder sends a request again when the holder of
+ * its partition changes. It answers each request by exactly one {@link AnswerCaller}, at the latest
+ * shortly after the deadline of the request.
  */
 public interface RunOnceForwarder {
 
-  /** Takes a request of a caller. */
+  /** Accepts a request of a caller and forwards it. */
   List<Effect> submit(RequestId id, RunOnceRequest request, Instant now);
 
-  /** Takes the answer of a holder. */
+  /** Handles the reply of a holder. */
   List<Effect> answered(RunOnceAnswered answer, Instant now);
 
-  /** Looks for new holders and passed deadlines; called several times a second. */
+  /**
+   * Forwards requests to new holders, and answers requests whose deadline has passed. Call this
+   * method several times a second.
+   */
   List<Effect> tick(Instant now);
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/RunOnceKey.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/RunOnceKey.java
@@ -6,10 +6,11 @@
 import io.hawthornlb.core.util.Checks;
 
 /**
- * Names a request that may run once.
+ * Identifies a request that runs at most once.
  *
  * @param workspace the workspace of the caller
- * @param value the caller's idempotency key, or one that an entry made for a request without
+ * @param value the idempotency key of the caller, or a key that the entry instance generated for a
+ *     request without one
  */
 public record RunOnceKey(WorkspaceId workspace, String value) {
 
@@ -18,7 +19,7 @@
     Checks.hasText(value, "idempotency key");
   }
 
-  /** Returns the partition that decides for this key. */
+  /** Returns the partition that is responsible for this key. */
   public PartitionId partition(int partitions) {
     return PartitionHash.partition(workspace.value() + '\n' + value, partitions);
   }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/RunOncePolicy.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/RunOncePolicy.java
@@ -7,7 +7,10 @@
 import java.util.Locale;
 import java.util.Set;
 
-/** Says which calls run at most once, and when two calls under a key are the same. */
+/**
+ * Determines which calls run at most once, and when two calls with the same key have the same
+ * content.
+ */
 public final class RunOncePolicy {
 
   private static final Set<String> SAFE_METHODS = Set.of("GET", "HEAD", "OPTIONS", "TRACE");
@@ -15,11 +18,11 @@
   private RunOncePolicy() {}
 
   /**
-   * Returns whether a call may run at most once.
+   * Returns whether a call must run at most once.
    *
-   * @param service the service
+   * @param service the catalogue entry of the service
    * @param method the HTTP method
-   * @param withKey whether the caller gave an idempotency key
+   * @param withKey whether the caller sent an idempotency key
    */
   public static boolean appliesTo(ServiceEntry service, String method, boolean withKey) {
     if (withKey || service.repeatability() == Repeatability.NEVER) {
@@ -29,7 +32,7 @@
     return service.repeatability() == Repeatability.SAFE_METHODS && !safe;
   }
 
-  /** Returns the fingerprint of a call; header fields do not count. */
+  /** Returns the fingerprint of a call. Header fields are not part of the fingerprint. */
   public static String fingerprint(ServiceName service, ServiceCall call) {
     return new ContentDigest()
         .add(service.value())
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/RunOnceRequest.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/RunOnceRequest.java
@@ -6,11 +6,13 @@
 import java.time.Instant;
 
 /**
- * A request that may run once.
+ * Request that runs at most once.
  *
- * @param key names it through resends
- * @param generatedKey whether an entry made the key, so that no caller can have sent it before
- * @param fingerprint a hash of service and call; other content under the key is a conflict
+ * @param key identifies the request across resends
+ * @param generatedKey whether the entry instance generated the key, so that no caller can have sent
+ *     it before
+ * @param fingerprint a hash of service and call; the same key with another fingerprint is a
+ *     conflict
  * @param service the service
  * @param call the call
  * @param deadline when the caller needs the answer
@@ -25,7 +27,7 @@
     Instant deadline,
     Duration retention) {
 
-  /** Checks the fingerprint. */
+  /** Checks that the fingerprint is not blank and that the retention is not negative. */
   public RunOnceRequest {
     Checks.hasText(fingerprint, "fingerprint");
     Checks.isTrue(!retention.isNegative(), "retention must not be negative");
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/RunOnceTick.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/RunOnceTick.java
@@ -1,7 +1,7 @@
 package io.hawthornlb.core.runonce;
 
 /**
- * Says that time has passed; sent every few milliseconds while requests are under way, and several
- * times a second otherwise.
+ * Event: time has passed. The event is sent every few milliseconds while requests are in progress,
+ * and several times a second otherwise.
  */
 public record RunOnceTick() implements RunOnceEvent {}
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/ServiceCall.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/ServiceCall.java
@@ -5,11 +5,11 @@
 import java.util.List;
 
 /**
- * The call that the endpoint gets.
+ * HTTP call that is sent to the endpoint.
  *
  * @param method the HTTP method
- * @param path path and query
- * @param headers header fields that are passed on
+ * @param path the path with the query
+ * @param headers the header fields that are passed on
  * @param body the body
  */
 public record ServiceCall(String method, String path, List<HeaderField> headers, String body) {
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/ServiceResult.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/ServiceResult.java
@@ -4,10 +4,10 @@
 import java.util.List;
 
 /**
- * The answer of the endpoint.
+ * HTTP response of the endpoint.
  *
  * @param status the HTTP status
- * @param headers header fields that are passed on
+ * @param headers the header fields that are passed on
  * @param body the body
  */
 public record ServiceResult(int status, List<HeaderField> headers, String body) {
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/StoreEntries.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/StoreEntries.java
@@ -7,16 +7,16 @@
 import java.util.List;
 
 /**
- * Asks a witness to keep entries until they stand in the log.
+ * Request to a replica: keep entries until they are in the log.
  *
- * <p>Answered by {@link EntriesStored}. Sending it again does no harm.
+ * <p>The replica replies with {@link EntriesStored}. The request is idempotent.
  *
- * @param holder the holder that asks
+ * @param holder the holder that sends the request
  * @param partition the partition
  * @param epoch the epoch of the holder
- * @param settled the epoch below which every intent stands in the log, so that the witness may drop
- *     what it keeps of those epochs
- * @param entries the attempts
+ * @param settled the epoch below which every intent is in the log, so that the replica may drop the
+ *     entries of those epochs
+ * @param entries the entries to keep
  */
 public record StoreEntries(
     InstanceId holder,
@@ -26,7 +26,7 @@
     List<RunOnceEntry> entries)
     implements PeerMessage {
 
-  /** Copies the entries. */
+  /** Copies the list of entries. */
   public StoreEntries {
     entries = List.copyOf(entries);
   }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/package-info.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/package-info.java
@@ -1,4 +1,4 @@
-/** Requests that run at most once: durable intents, witnesses, outcomes and truthful refusals. */
+/** Requests that run at most once: durable intents, their replicas, outcomes and refusals. */
 @NullMarked
 package io.hawthornlb.core.runonce;
 
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/support/DefaultRunOnceCoordinator.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/support/DefaultRunOnceCoordinator.java
@@ -34,7 +34,10 @@
 import java.util.Objects;
 import org.jspecify.annotations.Nullable;
 
-/** The coordinator that every instance uses; one a partition that it holds or held. */
+/**
+ * Default coordinator of a partition. An instance has one for every partition that it holds or has
+ * held.
+ */
 public final class DefaultRunOnceCoordinator implements RunOnceCoordinator {
 
   private final PartitionId id;
@@ -49,8 +52,8 @@
   private final EntryLog log;
   private final Runs runs;
   private final RunOnceMaintenance maintenance;
-  private @Nullable HolderTerm term;
-  private long followedTo = -1;
+  private @Nullable HolderTenure tenure;
+  private long handledOffset = -1;
   private boolean draining;
   private boolean releaseRequested;
 
@@ -58,12 +61,12 @@
    * Creates the coordinator of a partition.
    *
    * @param id the partition
-   * @param partition the fold of its stream
-   * @param fold the run-once requests that this fold feeds
-   * @param held whether this instance decides for the partition
-   * @param table the entries that this instance keeps as a witness, for all partitions
-   * @param ids numbers the records of this instance
-   * @param settings limits and times
+   * @param partition the fold of the stream of the partition
+   * @param fold the run-once state, which is a section of that fold
+   * @param held tells whether this instance holds the partition
+   * @param table the entries that this instance keeps as a replica, for all partitions
+   * @param ids generates the record ids of this instance
+   * @param settings limits and time spans
    */
   public DefaultRunOnceCoordinator(
       PartitionId id,
@@ -89,46 +92,46 @@
   @Override
   public List<Effect> on(RunOnceEvent event, Instant now) {
     List<Effect> out = new ArrayList<>();
-    followClaim(now, out);
-    followLog(now, out);
-    decide(event, now, out);
+    updateTenure(now, out);
+    updateFromLog(now, out);
+    dispatch(event, now, out);
     tick(now, out);
     return out;
   }
 
   @Override
   public boolean drained() {
-    boolean released = term == null || fold.released();
+    boolean released = tenure == null || fold.released();
     return draining && released && runs.empty() && log.empty();
   }
 
-  private void followClaim(Instant now, List<Effect> out) {
+  private void updateTenure(Instant now, List<Effect> out) {
     Claim claim = held.claim().orElse(null);
     Epoch current = claim == null ? null : claim.epoch();
-    if (Objects.equals(current, term == null ? null : term.epoch())) {
+    if (Objects.equals(current, tenure == null ? null : tenure.epoch())) {
       return;
     }
-    runs.leave(out);
+    runs.endTenure(out);
     log.clear();
     appends.clear();
-    term = null;
+    tenure = null;
     releaseRequested = false;
     if (claim != null) {
-      term = new HolderTerm(claim, partition, fold, table, ids, settings, appends, log, now);
+      tenure = new HolderTenure(claim, partition, fold, table, ids, settings, appends, log, now);
     }
   }
 
-  private void followLog(Instant now, List<Effect> out) {
-    if (term == null || partition.nextOffset() == followedTo) {
+  private void updateFromLog(Instant now, List<Effect> out) {
+    if (tenure == null || partition.nextOffset() == handledOffset) {
       return;
     }
-    followedTo = partition.nextOffset();
-    runs.seen(log.advance(fold, now), term.client(), now, out);
+    handledOffset = partition.nextOffset();
+    runs.logged(log.advance(fold, now), tenure.client(), now, out);
   }
 
-  private void decide(RunOnceEvent event, Instant now, List<Effect> out) {
-    if (event instanceof ForwardRunOnce question) {
-      forward(question, now, out);
+  private void dispatch(RunOnceEvent event, Instant now, List<Effect> out) {
+    if (event instanceof ForwardRunOnce message) {
+      forward(message, now, out);
     } else if (event instanceof CallAnswered answer) {
       runs.answered(answer, client(), now, out);
     } else if (event instanceof CallNotStarted answer) {
@@ -142,13 +145,13 @@
       runs.reader().unreadable(read.offset(), out);
     } else if (event instanceof Drain) {
       draining = true;
-    } else if (term != null) {
-      decideAsHolder(event, term, now, out);
+    } else if (tenure != null) {
+      dispatchAsHolder(event, tenure, now, out);
     }
   }
 
-  private void decideAsHolder(
-      RunOnceEvent event, HolderTerm current, Instant now, List<Effect> out) {
+  private void dispatchAsHolder(
+      RunOnceEvent event, HolderTenure current, Instant now, List<Effect> out) {
     if (event instanceof EntriesStored stored && stored.epoch().equals(current.epoch())) {
       runs.stored(stored, current.client(), now, out);
     } else if (event instanceof ReplicaContents contents) {
@@ -158,16 +161,16 @@
     }
   }
 
-  private void forward(ForwardRunOnce question, Instant now, List<Effect> out) {
-    Waiter waiter = Waiter.of(question);
-    boolean asked = term != null && term.epoch().equals(question.epoch());
-    if (!asked || draining) {
+  private void forward(ForwardRunOnce message, Instant now, List<Effect> out) {
+    Waiter waiter = Waiter.of(message);
+    boolean current = tenure != null && tenure.epoch().equals(message.epoch());
+    if (!current || draining) {
       out.add(waiter.redirected());
       return;
     }
-    if (term.ready()) {
-      runs.take(question, term, now, out);
-    } else if (term.slow(now)) {
+    if (tenure.ready()) {
+      runs.take(message, tenure, now, out);
+    } else if (tenure.recoveryTooLong(now)) {
       out.add(waiter.stopped(StopPoint.RECOVERING));
     } else {
       out.add(waiter.redirected());
@@ -177,16 +180,16 @@
   private void tick(Instant now, List<Effect> out) {
     runs.sweep(client(), now, out);
     runs.sendLate(partition.opened().orElse(null), now, out);
-    if (term == null) {
+    if (tenure == null) {
       return;
     }
-    term.tick(now, out);
-    if (term.ready()) {
+    tenure.tick(now, out);
+    if (tenure.ready()) {
       maintenance.tick(now, out);
     }
-    Duration delay = term.ready() ? runs.logDelay(term.client()) : settings.groupDelay();
-    log.flush(term.epoch(), delay, now).ifPresent(entries -> append(entries, now, out));
-    release(term, now, out);
+    Duration delay = tenure.ready() ? runs.logDelay(tenure.client()) : settings.groupDelay();
+    log.flush(tenure.epoch(), delay, now).ifPresent(entries -> append(entries, now, out));
+    release(tenure, now, out);
     appends.tick(now, out);
   }
 
@@ -195,7 +198,7 @@
     appends.add(effect, () -> log.settled(entries.entries()), now, out);
   }
 
-  private void release(HolderTerm current, Instant now, List<Effect> out) {
+  private void release(HolderTenure current, Instant now, List<Effect> out) {
     boolean idle = draining && current.ready() && runs.empty() && log.empty();
     if (idle && !releaseRequested) {
       releaseRequested = true;
@@ -205,6 +208,6 @@
   }
 
   private @Nullable ReplicaClient client() {
-    return term == null ? null : term.client();
+    return tenure == null ? null : tenure.client();
   }
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/support/DefaultRunOnceForwarder.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/support/DefaultRunOnceForwarder.java
@@ -28,15 +28,16 @@
 import java.util.Set;
 
 /**
- * Sends each request once to each holder that it learns of.
+ * Default forwarder, which sends each request at most once to each holder.
  *
- * <p>It never sends a request twice to one holder: the second could start another attempt after the
- * first was answered with "not run".
+ * <p>The forwarder never sends a request twice to one holder: the second message could start
+ * another attempt after the first was answered with "not run". It may send a request to a holder
+ * again only after that holder replied that it has run nothing and never will.
  */
 public final class DefaultRunOnceForwarder implements RunOnceForwarder {
 
   private static final Duration ANSWER_GRACE = Duration.ofMillis(250);
-  private static final Duration HOLDER_PATIENCE = Duration.ofSeconds(3);
+  private static final Duration NO_HOLDER_TIMEOUT = Duration.ofSeconds(3);
 
   private final InstanceId self;
   private final ClaimView claims;
@@ -44,11 +45,11 @@
   private final Map<RequestId, Pending> pending = new LinkedHashMap<>();
 
   /**
-   * Creates the forwarder of an entry.
+   * Creates the forwarder of an entry instance.
    *
-   * @param self the entry
-   * @param claims says who holds a partition
-   * @param maxPending the largest number of requests under way
+   * @param self the entry instance
+   * @param claims provides the current holder of a partition
+   * @param maxPending the maximum number of requests in progress
    */
   public DefaultRunOnceForwarder(InstanceId self, ClaimView claims, int maxPending) {
     Checks.isTrue(maxPending > 0, "max pending must be positive");
@@ -72,71 +73,72 @@
 
   @Override
   public List<Effect> answered(RunOnceAnswered message, Instant now) {
-    Pending asked = pending.get(message.id());
-    if (asked == null) {
+    Pending awaited = pending.get(message.id());
+    if (awaited == null) {
       return List.of();
     }
     if (message.answer().isEmpty()) {
-      asked.takeBack(message.epoch(), now);
+      awaited.withdraw(message.epoch(), now);
       return List.of();
     }
     pending.remove(message.id());
-    RunOnceAnswer answer = truthful(message.answer().get(), asked);
+    RunOnceAnswer answer = withoutUnsafeNotRun(message.answer().get(), awaited);
     return List.of(new AnswerCaller(message.id(), answer));
   }
 
   @Override
   public List<Effect> tick(Instant now) {
     List<Effect> out = new ArrayList<>();
-    pending.forEach((id, asked) -> send(id, asked, out));
+    pending.forEach((id, awaited) -> send(id, awaited, out));
     pending.entrySet().removeIf(entry -> expire(entry.getKey(), entry.getValue(), now, out));
     return out;
   }
 
-  private void send(RequestId id, Pending asked, List<Effect> out) {
-    Optional<Claim> claim = claims.current(asked.request.key().partition(claims.partitions()));
-    if (claim.isEmpty() || asked.sentUnder.contains(claim.get().epoch())) {
+  private void send(RequestId id, Pending awaited, List<Effect> out) {
+    Optional<Claim> claim = claims.current(awaited.request.key().partition(claims.partitions()));
+    if (claim.isEmpty() || awaited.sentUnder.contains(claim.get().epoch())) {
       return;
     }
-    boolean firstSend = asked.sentUnder.isEmpty() && asked.request.generatedKey();
+    boolean firstSend = awaited.sentUnder.isEmpty() && awaited.request.generatedKey();
     Epoch epoch = claim.get().epoch();
-    asked.sentUnder.add(epoch);
-    ForwardRunOnce message = new ForwardRunOnce(epoch, self, id, asked.request, firstSend);
+    awaited.sentUnder.add(epoch);
+    ForwardRunOnce message = new ForwardRunOnce(epoch, self, id, awaited.request, firstSend);
     out.add(new SendPeerMessage(claim.get().holder(), message));
   }
 
   /**
-   * Returns the answer without a "not run" that another holder could have made false.
+   * Returns the answer, with "not run" replaced by "may have run" if the request was sent to
+   * several holders.
    *
-   * <p>A holder that was superseded answers "not run" of its own attempt, while the request, sent
-   * on to its successor, runs there.
+   * <p>A superseded holder answers "not run" for its own attempt, while the request may run at the
+   * successor, to which it was forwarded too.
    */
-  private static RunOnceAnswer truthful(RunOnceAnswer answer, Pending asked) {
+  private static RunOnceAnswer withoutUnsafeNotRun(RunOnceAnswer answer, Pending awaited) {
     boolean notRun =
         answer.refusal().map(refusal -> refusal.run() == RunStatus.NOT_RUN).orElse(false);
-    if (!notRun || asked.sentUnder.size() == 1) {
+    if (!notRun || awaited.sentUnder.size() == 1) {
       return answer;
     }
-    Refusal told = answer.refusal().get();
-    Refusal careful =
+    Refusal original = answer.refusal().get();
+    Refusal weakened =
         new Refusal(
-            told.reason(),
+            original.reason(),
             RunStatus.MAY_HAVE_RUN,
-            told.retryAfter(),
-            told.detail(),
-            told.findings());
-    return new RunOnceAnswer(answer.result(), answer.stopPoint(), Optional.of(careful));
+            original.retryAfter(),
+            original.detail(),
+            original.findings());
+    return new RunOnceAnswer(answer.result(), answer.stopPoint(), Optional.of(weakened));
   }
 
-  private static boolean expire(RequestId id, Pending asked, Instant now, List<Effect> out) {
-    boolean sent = !asked.sentUnder.isEmpty();
-    boolean late = !asked.request.deadline().plus(ANSWER_GRACE).isAfter(now);
-    boolean nobody = !sent && !asked.idleSince.plus(HOLDER_PATIENCE).isAfter(now);
-    if (!late && !nobody) {
+  private static boolean expire(RequestId id, Pending awaited, Instant now, List<Effect> out) {
+    boolean sent = !awaited.sentUnder.isEmpty();
+    boolean overdue = !awaited.request.deadline().plus(ANSWER_GRACE).isAfter(now);
+    boolean noHolder = !sent && !awaited.unsentSince.plus(NO_HOLDER_TIMEOUT).isAfter(now);
+    if (!overdue && !noHolder) {
       return false;
     }
     StopPoint point = sent ? StopPoint.HOLDER_SILENT : StopPoint.NO_HOLDER;
-    out.add(stopped(id, point, !sent && asked.request.generatedKey()));
+    out.add(stopped(id, point, !sent && awaited.request.generatedKey()));
     return true;
   }
 
@@ -149,20 +151,20 @@
     private final RunOnceRequest request;
     private final Set<Epoch> sentUnder = new HashSet<>();
 
-    private Instant idleSince;
+    private Instant unsentSince;
     private boolean redirected;
 
     private Pending(RunOnceRequest request, Instant now) {
       this.request = request;
-      this.idleSince = now;
+      this.unsentSince = now;
     }
 
-    /** Notes that the holder of an epoch has run nothing and never will. */
-    private void takeBack(Epoch epoch, Instant now) {
+    /** Records that the holder of an epoch has run nothing for the request and never will. */
+    private void withdraw(Epoch epoch, Instant now) {
       boolean removed = sentUnder.remove(epoch);
       if (removed && sentUnder.isEmpty() && !redirected) {
         redirected = true;
-        idleSince = now;
+        unsentSince = now;
       }
     }
   }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/support/EntryLog.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/support/EntryLog.java
@@ -18,79 +18,90 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Brings entries to the log in groups, one group at a time.
+ * Appends entries to the log in groups, one group at a time.
  *
- * <p>While a group is under way, later entries gather, and a newer state of a key replaces an older
- * one; so an outage grows neither the number of records nor the memory beyond one entry a key.
+ * <p>While a group is in flight, later entries are queued, and a newer state of a key replaces an
+ * older one. Therefore an outage of the log grows neither the number of records nor the memory
+ * beyond one entry for each key.
  */
 final class EntryLog {
 
   private static final int MAX_GROUP_BYTES = 256 << 10;
 
   private final RunOnceSettings settings;
-  private final Map<RunOnceKey, RunOnceEntry> gathered = new LinkedHashMap<>();
-  private List<RunOnceEntry> sent = List.of();
-  private @Nullable Instant oldestAt;
-  private @Nullable Instant sentAt;
+  private final Map<RunOnceKey, RunOnceEntry> queued = new LinkedHashMap<>();
+  private List<RunOnceEntry> inFlight = List.of();
+  private @Nullable Instant queuedSince;
+  private @Nullable Instant inFlightSince;
 
   EntryLog(RunOnceSettings settings) {
     this.settings = settings;
   }
 
   void clear() {
-    gathered.clear();
-    sent = List.of();
-    oldestAt = null;
-    sentAt = null;
+    queued.clear();
+    inFlight = List.of();
+    queuedSince = null;
+    inFlightSince = null;
   }
 
   boolean empty() {
-    return gathered.isEmpty() && sent.isEmpty();
+    return queued.isEmpty() && inFlight.isEmpty();
   }
 
   void add(RunOnceEntry entry, Instant now) {
-    RunOnceEntry held = gathered.get(entry.key());
-    if (held == null || entry.supersedes(held)) {
-      gathered.put(entry.key(), entry);
+    RunOnceEntry existing = queued.get(entry.key());
+    if (existing == null || entry.supersedes(existing)) {
+      queued.put(entry.key(), entry);
     }
-    oldestAt = oldestAt == null ? now : oldestAt;
+    queuedSince = queuedSince == null ? now : queuedSince;
   }
 
-  /** Returns how long the log has not taken a group that was sent to it. */
-  Duration stalled(Instant now) {
-    return sentAt == null ? Duration.ZERO : Duration.between(sentAt, now);
+  /**
+   * Returns for how long the group in flight has been missing from the log; zero if no group is in
+   * flight.
+   */
+  Duration stalledFor(Instant now) {
+    return inFlightSince == null ? Duration.ZERO : Duration.between(inFlightSince, now);
   }
 
-  /** Returns a group to append, if one is due. */
+  /**
+   * Returns the next group to append, if one is due. A group is due when no group is in flight and
+   * either {@code maxGroupEntries} entries are queued or the queued entries have waited for the
+   * delay.
+   */
   Optional<EntriesRecorded> flush(Epoch epoch, Duration delay, Instant now) {
-    boolean full = gathered.size() >= settings.groupEntries();
-    boolean old = oldestAt != null && !oldestAt.plus(delay).isAfter(now);
-    if (!sent.isEmpty() || gathered.isEmpty() || !full && !old) {
+    boolean full = queued.size() >= settings.maxGroupEntries();
+    boolean old = queuedSince != null && !queuedSince.plus(delay).isAfter(now);
+    if (!inFlight.isEmpty() || queued.isEmpty() || !full && !old) {
       return Optional.empty();
     }
-    sent = take();
-    sentAt = now;
-    oldestAt = gathered.isEmpty() ? null : now;
-    return Optional.of(new EntriesRecorded(epoch, sent));
+    inFlight = take();
+    inFlightSince = now;
+    queuedSince = queued.isEmpty() ? null : now;
+    return Optional.of(new EntriesRecorded(epoch, inFlight));
   }
 
-  /** Returns whether a group need not be sent again. */
+  /**
+   * Returns whether an append of a group need not be sent again, since the group is no longer in
+   * flight.
+   */
   boolean settled(List<RunOnceEntry> group) {
-    return !sent.equals(group);
+    return !inFlight.equals(group);
   }
 
-  /** Returns the entries that stand in the log now and did not before. */
+  /** Returns the group in flight once all its entries are in the log, or an empty list. */
   List<RunOnceEntry> advance(RunOnceFold fold, Instant now) {
-    if (!sent.stream().allMatch(entry -> seen(entry, fold, now))) {
+    if (!inFlight.stream().allMatch(entry -> isLogged(entry, fold, now))) {
       return List.of();
     }
-    List<RunOnceEntry> seen = sent;
-    sent = List.of();
-    sentAt = null;
-    return seen;
+    List<RunOnceEntry> logged = inFlight;
+    inFlight = List.of();
+    inFlightSince = null;
+    return logged;
   }
 
-  static boolean seen(RunOnceEntry entry, RunOnceFold fold, Instant now) {
+  static boolean isLogged(RunOnceEntry entry, RunOnceFold fold, Instant now) {
     if (entry.expiresAt().isBefore(now)) {
       return true;
     }
@@ -106,9 +117,11 @@
 
   private List<RunOnceEntry> take() {
     List<RunOnceEntry> group = new ArrayList<>();
-    Iterator<RunOnceEntry> entries = gathered.values().iterator();
+    Iterator<RunOnceEntry> entries = queued.values().iterator();
     int bytes = 0;
-    while (entries.hasNext() && group.size() < settings.groupEntries() && bytes < MAX_GROUP_BYTES) {
+    while (entries.hasNext()
+        && group.size() < settings.maxGroupEntries()
+        && bytes < MAX_GROUP_BYTES) {
       RunOnceEntry entry = entries.next();
       group.add(entry);
       entries.remove();
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/support/HolderTerm.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/support/HolderTenure.java
@@ -23,13 +23,15 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One term of a holder: recovers what ran under earlier epochs, then names its witnesses.
+ * State of a holder during one epoch. Recovers what ran under earlier epochs, then names the
+ * replicas of its own epoch.
  *
- * <p>Nothing is run before the record that names them is seen in the stream.
+ * <p>The holder runs no request before it has read the record that names its replicas in the
+ * stream.
  */
-final class HolderTerm {
+final class HolderTenure {
 
-  private static final Duration SLOW_INTERVAL = Duration.ofSeconds(5);
+  private static final Duration INTERVAL_WHEN_READY = Duration.ofSeconds(5);
 
   private final Claim claim;
   private final PartitionFold partition;
@@ -40,14 +42,14 @@
   private final EntryLog log;
   private final ReplicaRecovery recovery;
   private final ReplicaClient client;
-  private final Instant begunAt;
-  private final Optional<Instant> inherited;
+  private final Instant startedAt;
+  private final Optional<Instant> inheritedUnknownUntil;
   private final List<ReplicaSet> inheritedSets;
   private final List<RunOnceEntry> recovered = new ArrayList<>();
   private @Nullable ReplicasNamed requested;
-  private long roundAt;
+  private long namedAfterOpeningAt;
 
-  HolderTerm(
+  HolderTenure(
       Claim claim,
       PartitionFold partition,
       RunOnceFold fold,
@@ -64,13 +66,14 @@
     this.settings = settings;
     this.appends = appends;
     this.log = log;
-    this.begunAt = now;
-    this.roundAt = partition.openedAt();
-    this.inherited =
+    this.startedAt = now;
+    this.namedAfterOpeningAt = partition.openedAt();
+    this.inheritedUnknownUntil =
         fold.replicasNamed()
             .flatMap(ReplicasNamed::unknownUntil)
             .filter(until -> until.isAfter(now));
-    this.inheritedSets = inherited.isEmpty() ? List.of() : fold.replicasNamed().get().unresolved();
+    this.inheritedSets =
+        inheritedUnknownUntil.isEmpty() ? List.of() : fold.replicasNamed().get().unresolved();
     InstanceId self = claim.holder();
     this.recovery =
         new ReplicaRecovery(self, claim.partition(), claim.epoch(), table, earlierSets());
@@ -87,17 +90,22 @@
     return client;
   }
 
-  /** Returns whether requests may be run: the own record that names the witnesses is in the log. */
+  /**
+   * Returns whether requests may run: this holder's own record that names its replicas is in the
+   * log.
+   */
   boolean ready() {
     return fold.replicasNamed().filter(named -> named.epoch().equals(claim.epoch())).isPresent();
   }
 
   /** Returns whether recovery has lasted too long for callers to wait for it. */
-  boolean slow(Instant now) {
-    return begunAt.plus(settings.durabilityTimeout()).isBefore(now);
+  boolean recoveryTooLong(Instant now) {
+    return startedAt.plus(settings.durabilityTimeout()).isBefore(now);
   }
 
-  /** Returns whether a key that nobody knows may have run under an epoch that is not recovered. */
+  /**
+   * Returns whether a key that is unknown here may have run under an epoch that is not recovered.
+   */
   boolean unknownMayHaveRun(Instant now) {
     return fold.replicasNamed()
         .flatMap(ReplicasNamed::unknownUntil)
@@ -111,12 +119,12 @@
 
   void tick(Instant now, List<Effect> out) {
     take(recovery.collectOwn(), now);
-    recovery.ask(ready() ? SLOW_INTERVAL : settings.resendInterval(), now, out);
-    recovered.removeIf(entry -> EntryLog.seen(entry, fold, now));
-    boolean timedOut = !begunAt.plus(settings.recoveryTimeout()).isAfter(now);
+    recovery.requestContents(ready() ? INTERVAL_WHEN_READY : settings.resendInterval(), now, out);
+    recovered.removeIf(entry -> EntryLog.isLogged(entry, fold, now));
+    boolean timedOut = !startedAt.plus(settings.recoveryTimeout()).isAfter(now);
     boolean decided = recovery.unresolved().isEmpty() || timedOut;
     if (decided && recovered.isEmpty()) {
-      name(now, out);
+      nameReplicas(now, out);
     }
     if (ready() && recovery.unresolved().isEmpty()) {
       client.settled(claim.epoch());
@@ -128,14 +136,14 @@
     entries.forEach(entry -> log.add(entry, now));
   }
 
-  private void name(Instant now, List<Effect> out) {
+  private void nameReplicas(Instant now, List<Effect> out) {
     List<ReplicaSet> unresolved = recovery.unresolved();
-    boolean repeat = partition.openedAt() != roundAt;
+    boolean repeat = partition.openedAt() != namedAfterOpeningAt;
     boolean changed = requested == null || !requested.unresolved().equals(unresolved);
     if (!changed && !repeat) {
       return;
     }
-    roundAt = partition.openedAt();
+    namedAfterOpeningAt = partition.openedAt();
     requested =
         new ReplicasNamed(
             claim.epoch(),
@@ -146,23 +154,24 @@
             unknownUntil(unresolved, now));
     StreamName stream = StreamName.ofPartition(claim.partition());
     ReplicasNamed named = requested;
-    appends.add(new AppendRecord(stream, ids.next(), named), () -> seen(named), now, out);
+    appends.add(new AppendRecord(stream, ids.next(), named), () -> isNamed(named), now, out);
   }
 
   private int tolerance() {
-    return Math.min(settings.witnessTolerance(), claim.witnesses().size() / 3);
+    return Math.min(settings.replicaTolerance(), claim.witnesses().size() / 3);
   }
 
-  private boolean seen(ReplicasNamed named) {
+  private boolean isNamed(ReplicasNamed named) {
     return fold.replicasNamed().filter(named::equals).isPresent();
   }
 
   /**
-   * Returns until when a key that is not known must not run.
+   * Returns the time until which a key that is not in the log must not run, or empty if every
+   * earlier epoch is recovered.
    *
-   * <p>A holder and its witnesses that are cut off together go on for a while without the log, so
-   * keys may be made there after this instance has taken over. That while is bounded, and each key
-   * is remembered for a bounded time after it.
+   * <p>A holder and its replicas that are cut off together continue without the log for a limited
+   * time. New keys may be recorded there after this instance has taken over. The returned time
+   * allows for this limit and for the time for which such a key is kept.
    */
   private Optional<Instant> unknownUntil(List<ReplicaSet> unresolved, Instant now) {
     if (unresolved.isEmpty()) {
@@ -172,9 +181,9 @@
       return requested.unknownUntil();
     }
     if (inheritedSets.containsAll(unresolved)) {
-      return inherited;
+      return inheritedUnknownUntil;
     }
-    return Optional.of(now.plus(settings.keyRetention()).plus(settings.maxWitnessOnly()));
+    return Optional.of(now.plus(settings.keyRetention()).plus(settings.maxReplicaOnly()));
   }
 
   private List<ReplicaSet> earlierSets() {
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/support/InMemoryReplicaTable.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/support/InMemoryReplicaTable.java
@@ -21,7 +21,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Keeps entries in hash maps; confined to one thread. */
+/** Default replica table, which keeps entries in hash maps. The table is confined to one thread. */
 public final class InMemoryReplicaTable implements ReplicaTable {
 
   private static final int PAGE_ENTRIES = 200;
@@ -36,8 +36,8 @@
   /**
    * Creates an empty table.
    *
-   * @param self the instance that is the witness
-   * @param maxBytes how much the entries may take together
+   * @param self the instance that is the replica
+   * @param maxBytes the maximum memory for all entries together, in bytes
    */
   public InMemoryReplicaTable(InstanceId self, long maxBytes) {
     Checks.isTrue(maxBytes > 0, "max bytes must be positive");
@@ -46,31 +46,32 @@
   }
 
   @Override
-  public EntriesStored store(StoreEntries question, Instant now) {
-    Store store = stores.computeIfAbsent(question.partition(), id -> new Store());
-    if (question.epoch().compareTo(store.fence) < 0) {
-      // A successor has collected what was stored; an entry that came after would be missing there,
-      // and the paused holder that now sends it would run what the successor may run as well.
-      return answer(question, List.of(), store.fence);
+  public EntriesStored store(StoreEntries request, Instant now) {
+    Store store = stores.computeIfAbsent(request.partition(), id -> new Store());
+    if (request.epoch().compareTo(store.fence) < 0) {
+      // A successor has already collected the stored entries, so it would miss an entry that is
+      // stored now. A paused holder that resumes and sends this request would run what the
+      // successor may run as well.
+      return reply(request, List.of(), store.fence);
     }
-    store.fence = question.epoch();
-    dropSettled(store, question.settled());
+    store.fence = request.epoch();
+    dropSettled(store, request.settled());
     Map<RunOnceKey, RunOnceEntry> entries =
-        store.epochs.computeIfAbsent(question.epoch(), epoch -> new LinkedHashMap<>());
+        store.epochs.computeIfAbsent(request.epoch(), epoch -> new LinkedHashMap<>());
     List<EntryMark> stored = new ArrayList<>();
-    for (RunOnceEntry entry : question.entries()) {
+    for (RunOnceEntry entry : request.entries()) {
       if (keep(entries, entry)) {
         stored.add(EntryMark.of(entry));
       }
     }
-    return answer(question, stored, question.epoch());
+    return reply(request, stored, request.epoch());
   }
 
   @Override
   public void forget(ForgetEntries message) {
     Store store = stores.get(message.partition());
     if (store == null || message.epoch().compareTo(store.fence) < 0) {
-      // What a successor collects page by page must not shift under it.
+      // A successor collects the entries page by page, so their order must not change meanwhile.
       return;
     }
     Map<RunOnceKey, RunOnceEntry> entries =
@@ -85,20 +86,20 @@
   }
 
   @Override
-  public ReplicaContents fence(FenceAndCollect question) {
-    Store store = stores.computeIfAbsent(question.partition(), id -> new Store());
-    if (store.fence.compareTo(question.epoch()) < 0) {
-      store.fence = question.epoch();
+  public ReplicaContents fence(FenceAndCollect request) {
+    Store store = stores.computeIfAbsent(request.partition(), id -> new Store());
+    if (store.fence.compareTo(request.epoch()) < 0) {
+      store.fence = request.epoch();
     }
     List<RunOnceEntry> entries =
-        List.copyOf(store.epochs.getOrDefault(question.oldEpoch(), Map.of()).values());
-    int from = Math.min(question.from(), entries.size());
+        List.copyOf(store.epochs.getOrDefault(request.oldEpoch(), Map.of()).values());
+    int from = Math.min(request.from(), entries.size());
     int end = Math.min(from + PAGE_ENTRIES, entries.size());
     return new ReplicaContents(
         self,
-        question.partition(),
-        question.epoch(),
-        question.oldEpoch(),
+        request.partition(),
+        request.epoch(),
+        request.oldEpoch(),
         from,
         entries.subList(from, end),
         end < entries.size());
@@ -115,21 +116,21 @@
     return size;
   }
 
-  private EntriesStored answer(StoreEntries question, List<EntryMark> stored, Epoch fence) {
-    return new EntriesStored(self, question.partition(), question.epoch(), stored, fence);
+  private EntriesStored reply(StoreEntries request, List<EntryMark> stored, Epoch fence) {
+    return new EntriesStored(self, request.partition(), request.epoch(), stored, fence);
   }
 
   private boolean keep(Map<RunOnceKey, RunOnceEntry> entries, RunOnceEntry entry) {
-    RunOnceEntry held = entries.get(entry.key());
-    if (held != null && !entry.supersedes(held)) {
+    RunOnceEntry existing = entries.get(entry.key());
+    if (existing != null && !entry.supersedes(existing)) {
       return true;
     }
-    long added = bytes(entry) - (held == null ? 0 : bytes(held));
+    long added = bytes(entry) - (existing == null ? 0 : bytes(existing));
     if (bytes + added > maxBytes) {
       return false;
     }
-    if (held != null) {
-      count(held, -1);
+    if (existing != null) {
+      count(existing, -1);
     }
     entries.put(entry.key(), entry);
     count(entry, 1);
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/support/LateOutcomes.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/support/LateOutcomes.java
@@ -13,10 +13,11 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Hands outcomes that came after the end of a term to the current holder, a few times.
+ * Sends outcomes that arrived after the end of a tenure to the current holder, several times each.
  *
- * <p>The first message may reach a successor that has not yet read its own opening, and is then
- * passed over; the caller would never learn what its request has done.
+ * <p>A successor ignores a message that it receives before it has read its own opening record. If
+ * the outcome were sent only once, it could be lost and the caller would never learn what its
+ * request did.
  */
 final class LateOutcomes {
 
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/support/OutcomeReader.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/support/OutcomeReader.java
@@ -15,7 +15,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Answers resends of completed requests with the result that stands in the log. */
+/** Answers resends of completed requests with the results that are stored in the log. */
 final class OutcomeReader {
 
   private final StreamName stream;
@@ -49,15 +49,15 @@
     take(offset).forEach(reader -> out.add(reader.waiter().stopped(StopPoint.RESULT_UNREADABLE)));
   }
 
-  void stopLate(Instant now, List<Effect> out) {
+  void stopExpired(Instant now, List<Effect> out) {
     for (List<Reader> waiting : readers.values()) {
       for (Reader reader : waiting) {
-        if (reader.waiter().late(now)) {
+        if (reader.waiter().expired(now)) {
           out.add(reader.waiter().stopped(StopPoint.RESULT_UNREADABLE));
           size--;
         }
       }
-      waiting.removeIf(reader -> reader.waiter().late(now));
+      waiting.removeIf(reader -> reader.waiter().expired(now));
     }
     readers.values().removeIf(List::isEmpty);
   }
@@ -71,8 +71,8 @@
   private record Reader(Waiter waiter, RunOnceKey key, int position) {
 
     private Effect answer(List<RunOnceEntry> entries) {
-      boolean there = position < entries.size() && entries.get(position).key().equals(key);
-      return there
+      boolean matches = position < entries.size() && entries.get(position).key().equals(key);
+      return matches
           ? entries
               .get(position)
               .result()
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/support/ReplicaClient.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/support/ReplicaClient.java
@@ -13,14 +13,14 @@
 import java.time.Instant;
 import java.util.List;
 
-/** Stores entries at the witnesses of one epoch, this instance among them. */
+/** Stores entries at the replica set of one epoch, which includes this instance. */
 final class ReplicaClient {
 
   private final InstanceId self;
   private final PartitionId partition;
   private final Epoch epoch;
   private final ReplicaTable table;
-  private final List<InstanceId> witnesses;
+  private final List<InstanceId> replicas;
   private final int tolerance;
   private Epoch settled;
 
@@ -29,86 +29,89 @@
       PartitionId partition,
       Epoch epoch,
       ReplicaTable table,
-      List<InstanceId> witnesses,
+      List<InstanceId> replicas,
       int tolerance) {
     this.self = self;
     this.partition = partition;
     this.epoch = epoch;
     this.table = table;
-    this.witnesses = witnesses;
+    this.replicas = replicas;
     this.tolerance = tolerance;
     this.settled = Epoch.NONE;
   }
 
-  /** Says below which epoch every intent stands in the log. */
+  /** Sets the epoch below which every intent is in the log. */
   void settled(Epoch value) {
     settled = value;
   }
 
-  /** Returns whether intents may be durable at witnesses alone. */
+  /** Returns whether intents may become durable at replicas alone. */
   boolean usable() {
-    return !witnesses.isEmpty() && table.fence(partition).compareTo(epoch) <= 0;
+    return !replicas.isEmpty() && table.fence(partition).compareTo(epoch) <= 0;
   }
 
-  /** Stores an entry here and asks the others to. */
+  /** Stores the entry of a run in the table of this instance and sends it to the other replicas. */
   void store(Run run, Instant now, List<Effect> out) {
     if (!usable()) {
       return;
     }
-    StoreEntries question = question(List.of(run.entry()));
-    if (!table.store(question, now).stored().isEmpty()) {
+    StoreEntries request = storeRequest(List.of(run.entry()));
+    if (!table.store(request, now).stored().isEmpty()) {
       run.acks().add(self);
     }
-    witnesses.forEach(witness -> out.add(new SendPeerMessage(witness, question)));
+    replicas.forEach(replica -> out.add(new SendPeerMessage(replica, request)));
     run.sent(now);
   }
 
-  /** Asks again for entries, those of all runs in one message a witness. */
+  /**
+   * Sends the entries of several runs again, to each replica in one message with those that it has
+   * not acknowledged.
+   */
   void resend(List<Run> runs, Instant now, List<Effect> out) {
     if (runs.isEmpty() || !usable()) {
       return;
     }
     table
-        .store(question(runs.stream().map(Run::entry).toList()), now)
+        .store(storeRequest(runs.stream().map(Run::entry).toList()), now)
         .stored()
         .forEach(mark -> ackOwn(runs, mark));
-    for (InstanceId witness : witnesses) {
+    for (InstanceId replica : replicas) {
       List<RunOnceEntry> missing =
-          runs.stream().filter(run -> !run.acks().contains(witness)).map(Run::entry).toList();
+          runs.stream().filter(run -> !run.acks().contains(replica)).map(Run::entry).toList();
       if (!missing.isEmpty()) {
-        out.add(new SendPeerMessage(witness, question(missing)));
+        out.add(new SendPeerMessage(replica, storeRequest(missing)));
       }
     }
     runs.forEach(run -> run.sent(now));
   }
 
   /**
-   * Returns whether enough members of the set hold the entry.
+   * Returns whether enough members of the replica set keep the entry of a run.
    *
-   * <p>All but for as many as are tolerated, since a successor asks one more than that. The own
-   * table counts as one: once a successor has fenced it, an answer of the others that comes late
-   * proves nothing any more.
+   * <p>All members but {@code tolerance} must keep it, since a successor collects from {@code
+   * tolerance + 1} members. The table of this instance must be among them: once a successor has
+   * fenced this table, a late acknowledgement of another replica proves nothing.
    */
   boolean stored(Run run) {
-    int members = witnesses.size() + 1;
+    int members = replicas.size() + 1;
     boolean enough = run.acks().size() >= members - tolerance;
     return usable() && run.acks().contains(self) && enough;
   }
 
-  /** Returns whether an instance is a witness of the epoch. */
-  boolean isWitness(InstanceId instance) {
-    return witnesses.contains(instance);
+  /** Returns whether an instance is a replica of the epoch. */
+  boolean isReplica(InstanceId instance) {
+    return replicas.contains(instance);
   }
 
-  /** Lets the witnesses drop entries that stand in the log. */
+  /** Tells the replicas to drop entries that are in the log. */
   void forget(List<RunOnceEntry> entries, List<Effect> out) {
-    if (witnesses.isEmpty() || entries.isEmpty()) {
+    if (replicas.isEmpty() || entries.isEmpty()) {
       return;
     }
     List<EntryMark> marks = entries.stream().map(EntryMark::of).toList();
     ForgetEntries message = new ForgetEntries(partition, epoch, marks);
     table.forget(message);
-    witnesses.forEach(witness -> out.add(new SendPeerMessage(witness, message)));
+    replicas.forEach(replica -> out.add(new SendPeerMessage(replica, message)));
   }
 
   private void ackOwn(List<Run> runs, EntryMark mark) {
@@ -117,7 +120,7 @@
         .forEach(run -> run.acks().add(self));
   }
 
-  private StoreEntries question(List<RunOnceEntry> entries) {
+  private StoreEntries storeRequest(List<RunOnceEntry> entries) {
     return new StoreEntries(self, partition, epoch, settled, entries);
   }
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/support/ReplicaRecovery.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/support/ReplicaRecovery.java
@@ -20,7 +20,10 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Fences the witnesses of earlier epochs and collects from enough of each epoch what they keep. */
+/**
+ * Fences the replicas of earlier epochs and collects their entries from enough members of each
+ * replica set.
+ */
 final class ReplicaRecovery {
 
   private final InstanceId self;
@@ -30,7 +33,7 @@
   private final Map<Epoch, ReplicaSet> unresolved = new LinkedHashMap<>();
   private final Map<Source, List<RunOnceEntry>> collected = new HashMap<>();
   private final Map<Epoch, Set<InstanceId>> delivered = new HashMap<>();
-  private Instant askedAt = Instant.MIN;
+  private Instant requestedAt = Instant.MIN;
 
   ReplicaRecovery(
       InstanceId self,
@@ -49,50 +52,56 @@
     return List.copyOf(unresolved.values());
   }
 
-  /** Collects what this instance keeps itself. */
+  /** Collects the entries that this instance keeps as a replica of earlier epochs. */
   List<RunOnceEntry> collectOwn() {
     List<RunOnceEntry> entries = new ArrayList<>();
     for (ReplicaSet set : unresolved()) {
       if (set.members().contains(self) && !hasDelivered(self, set.epoch())) {
-        entries.addAll(own(set.epoch()));
-        deliver(self, set);
+        entries.addAll(collectFromTable(set.epoch()));
+        markDelivered(self, set);
       }
     }
     return entries;
   }
 
-  /** Asks the members of the unresolved sets, again after an interval. */
-  void ask(Duration interval, Instant now, List<Effect> out) {
-    if (askedAt != Instant.MIN && askedAt.plus(interval).isAfter(now)) {
+  /**
+   * Requests the entries of the unresolved replica sets from their members, and repeats the
+   * requests after an interval.
+   */
+  void requestContents(Duration interval, Instant now, List<Effect> out) {
+    if (requestedAt != Instant.MIN && requestedAt.plus(interval).isAfter(now)) {
       return;
     }
-    askedAt = now;
+    requestedAt = now;
     for (ReplicaSet set : unresolved.values()) {
       set.members().stream()
           .filter(member -> !hasDelivered(member, set.epoch()))
-          .forEach(member -> out.add(question(member, set.epoch())));
+          .forEach(member -> out.add(fenceRequest(member, set.epoch())));
     }
   }
 
-  /** Takes an answer; returns all entries of a witness once it has handed them over. */
+  /**
+   * Handles one page of a replica. Returns all entries of the replica after its last page, or an
+   * empty list before.
+   */
   List<RunOnceEntry> collected(ReplicaContents contents, List<Effect> out) {
     ReplicaSet set = unresolved.get(contents.oldEpoch());
-    boolean asked = set != null && set.members().contains(contents.witness());
-    if (!asked || !contents.epoch().equals(epoch)) {
+    boolean expected = set != null && set.members().contains(contents.witness());
+    if (!expected || !contents.epoch().equals(epoch)) {
       return List.of();
     }
     Source source = new Source(contents.witness(), contents.oldEpoch());
     List<RunOnceEntry> entries = collected.computeIfAbsent(source, key -> new ArrayList<>());
-    boolean known = hasDelivered(contents.witness(), contents.oldEpoch());
-    if (known || contents.from() != entries.size()) {
+    boolean alreadyDelivered = hasDelivered(contents.witness(), contents.oldEpoch());
+    if (alreadyDelivered || contents.from() != entries.size()) {
       return List.of();
     }
     entries.addAll(contents.entries());
     if (contents.more()) {
-      out.add(question(contents.witness(), contents.oldEpoch()));
+      out.add(fenceRequest(contents.witness(), contents.oldEpoch()));
       return List.of();
     }
-    deliver(contents.witness(), set);
+    markDelivered(contents.witness(), set);
     return entries;
   }
 
@@ -100,7 +109,7 @@
     return delivered.getOrDefault(oldEpoch, Set.of()).contains(member);
   }
 
-  private void deliver(InstanceId member, ReplicaSet set) {
+  private void markDelivered(InstanceId member, ReplicaSet set) {
     Set<InstanceId> members = delivered.computeIfAbsent(set.epoch(), id -> new HashSet<>());
     members.add(member);
     if (members.size() > set.tolerance()) {
@@ -108,7 +117,7 @@
     }
   }
 
-  private List<RunOnceEntry> own(Epoch oldEpoch) {
+  private List<RunOnceEntry> collectFromTable(Epoch oldEpoch) {
     List<RunOnceEntry> entries = new ArrayList<>();
     ReplicaContents page;
     do {
@@ -118,7 +127,7 @@
     return entries;
   }
 
-  private Effect question(InstanceId member, Epoch oldEpoch) {
+  private Effect fenceRequest(InstanceId member, Epoch oldEpoch) {
     int from = collected.getOrDefault(new Source(member, oldEpoch), List.of()).size();
     return new SendPeerMessage(member, new FenceAndCollect(self, partition, epoch, oldEpoch, from));
   }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/support/Run.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/support/Run.java
@@ -14,7 +14,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** One attempt that this instance makes, until its end stands in the log. */
+/** One attempt that this instance makes, until its outcome is in the log. */
 final class Run {
 
   private final RunOnceRequest request;
@@ -25,7 +25,7 @@
   private Phase phase = Phase.STORING;
   private Instant endedAt = Instant.MAX;
   private Instant sentAt;
-  private boolean offered;
+  private boolean replicationRequested;
 
   Run(RunOnceRequest request, RunOnceEntry intent, Instant now) {
     this.request = request;
@@ -62,13 +62,13 @@
     sentAt = now;
   }
 
-  /** Notes that witnesses are asked to keep this attempt. */
-  void offered() {
-    offered = true;
+  /** Records that replicas were asked to keep this attempt. */
+  void replicationRequested() {
+    replicationRequested = true;
   }
 
-  boolean isOffered() {
-    return offered;
+  boolean isReplicationRequested() {
+    return replicationRequested;
   }
 
   Set<InstanceId> acks() {
@@ -94,7 +94,7 @@
     return entry.result().map(result -> result.body().length()).orElse(0);
   }
 
-  /** Answers all that wait with the end of this attempt. */
+  /** Sends the outcome of this attempt to all waiting callers. */
   void answerAll(List<Effect> out) {
     waiters.forEach(waiter -> out.add(waiter.answer(answer())));
     waiters.clear();
@@ -110,16 +110,18 @@
     waiters.clear();
   }
 
-  /** Answers those whose deadline has passed, truthfully for the phase. */
-  void stopLate(Instant now, List<Effect> out) {
+  /**
+   * Answers waiting callers whose deadline has passed, with the stop point of the current phase.
+   */
+  void stopExpired(Instant now, List<Effect> out) {
     StopPoint point =
         phase == Phase.STORING ? StopPoint.INTENT_NOT_DURABLE : StopPoint.STILL_RUNNING;
     waiters.removeIf(
         waiter -> {
-          if (waiter.late(now)) {
+          if (waiter.expired(now)) {
             out.add(waiter.stopped(point));
           }
-          return waiter.late(now);
+          return waiter.expired(now);
         });
   }
 
@@ -135,13 +137,13 @@
     return RunOnceAnswer.stopped(point, false);
   }
 
-  /** How far the attempt has come. */
+  /** Progress of the attempt. */
   enum Phase {
-    /** The intent is not known to be durable; nothing has been sent. */
+    /** The intent is not known to be durable; the call has not been dispatched. */
     STORING,
-    /** The call has been handed out. */
+    /** The call has been dispatched. */
     RUNNING,
-    /** The call has ended, or was given up before it was handed out. */
+    /** The call has ended, or was abandoned before it was dispatched. */
     ENDED
   }
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/support/RunOnceFold.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/support/RunOnceFold.java
@@ -24,10 +24,11 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The run-once requests of a partition.
+ * Default run-once state of a partition, folded from its stream.
  *
- * <p>An entry replaces another of its key if it says more; so the state is the same in whichever
- * order, and however often, the valid records of a key are applied. Results stay in the log.
+ * <p>An entry replaces another entry of its key if it belongs to a later attempt or to a later
+ * state of the same attempt. Therefore the state does not depend on the order in which valid
+ * records of a key are applied, nor on how often. Results stay in the log.
  */
 public final class RunOnceFold implements PartitionSection, RunOnceDirectory {
 
@@ -38,7 +39,7 @@
   private boolean released;
   private Instant expiredAt = Instant.EPOCH;
 
-  /** Creates the state without requests. */
+  /** Creates a state without keys. */
   public RunOnceFold() {}
 
   @Override
@@ -81,7 +82,10 @@
     return slots.size();
   }
 
-  /** Returns up to a number of offsets below a limit whose records are still needed. */
+  /**
+   * Returns up to {@code max} offsets below a limit whose records hold the state of an unexpired
+   * key.
+   */
   List<Long> neededBelow(long limit, int max) {
     List<Long> offsets = new ArrayList<>();
     for (Slot slot : slots.values()) {
@@ -95,8 +99,8 @@
     return offsets;
   }
 
-  private void merge(RunOnceEntry entry, LogRecord holder, int position) {
-    if (entry.expiresAt().isBefore(holder.appendedAt())) {
+  private void merge(RunOnceEntry entry, LogRecord logRecord, int position) {
+    if (entry.expiresAt().isBefore(logRecord.appendedAt())) {
       return;
     }
     Slot slot = slots.computeIfAbsent(hash(entry.key()), key -> new Slot());
@@ -105,7 +109,7 @@
       slot.set(entry, fingerprintHash(entry.fingerprint()));
     }
     if (order <= 0) {
-      slot.offset = holder.offset();
+      slot.offset = logRecord.offset();
       slot.position = position;
     }
   }
@@ -127,7 +131,7 @@
     return Hashing.wyhashFinal4().hashCharsToLong(fingerprint);
   }
 
-  /** One key in few bytes; there may be hundreds of thousands. */
+  /** State of one key in a compact form, since there may be hundreds of thousands of keys. */
   private static final class Slot {
 
     private long fingerprintHash;
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/support/RunOnceMaintenance.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/support/RunOnceMaintenance.java
@@ -15,7 +15,11 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Appends entries again, before the platform drops the record that they stand in. */
+/**
+ * Appends entries again before the platform drops the record that contains them.
+ *
+ * <p>An entry is due when its record is older than half of the log retention.
+ */
 final class RunOnceMaintenance {
 
   private static final int MAX_REFRESHES = 4;
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/support/Runs.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/support/Runs.java
@@ -28,11 +28,11 @@
 import java.util.Optional;
 import org.jspecify.annotations.Nullable;
 
-/** The attempts of a holder, from the request to its end in the log. */
+/** The attempts of a holder, from the request until the outcome is in the log. */
 final class Runs {
 
   private static final Duration SWEEP_INTERVAL = Duration.ofMillis(50);
-  private static final Duration WITNESS_PATIENCE = Duration.ofMillis(20);
+  private static final Duration REPLICA_ACK_TIMEOUT = Duration.ofMillis(20);
   private static final int RESEND_BATCH = 200;
 
   private final PartitionId partition;
@@ -45,7 +45,7 @@
   private long nextSequence;
   private int waiters;
   private long resultBytes;
-  private boolean witnessesAnswer = true;
+  private boolean replicasRespond = true;
   private Instant sweptAt = Instant.EPOCH;
 
   Runs(
@@ -70,55 +70,60 @@
     return reader;
   }
 
-  /** Returns how long entries wait for others: longer while witnesses make them durable first. */
+  /**
+   * Returns how long entries wait to be grouped in the log: longer while replicas make them durable
+   * first.
+   */
   Duration logDelay(ReplicaClient client) {
-    return client.usable() && witnessesAnswer ? settings.followDelay() : settings.groupDelay();
+    return client.usable() && replicasRespond
+        ? settings.replicatedGroupDelay()
+        : settings.groupDelay();
   }
 
-  /** Takes a request of a partition whose earlier epochs are known. */
-  void take(ForwardRunOnce question, HolderTerm term, Instant now, List<Effect> out) {
-    Waiter waiter = Waiter.of(question);
-    Run run = runs.get(question.request().key());
+  /** Handles a request of a partition whose earlier epochs are recovered. */
+  void take(ForwardRunOnce message, HolderTenure tenure, Instant now, List<Effect> out) {
+    Waiter waiter = Waiter.of(message);
+    Run run = runs.get(message.request().key());
     if (run != null && !ended(run, EntryState.ABANDONED)) {
-      join(run, waiter, question.request(), out);
+      join(run, waiter, message.request(), out);
       return;
     }
-    Optional<KeyState> known = run == null ? fold.key(question.request().key()) : Optional.empty();
+    Optional<KeyState> known = run == null ? fold.key(message.request().key()) : Optional.empty();
     if (known.isPresent() && known.get().state() != EntryState.ABANDONED) {
-      replay(known.get(), waiter, question.request(), out);
+      replay(known.get(), waiter, message.request(), out);
     } else if (full()) {
       out.add(waiter.stopped(StopPoint.HOLDER_FULL));
-    } else if (waiter.late(now)) {
+    } else if (waiter.expired(now)) {
       out.add(waiter.stopped(StopPoint.INTENT_NOT_DURABLE));
-    } else if (known.isEmpty() && run == null && mayHaveRun(waiter, term, now)) {
+    } else if (known.isEmpty() && run == null && mayHaveRun(waiter, tenure, now)) {
       out.add(waiter.stopped(StopPoint.WITNESSES_LOST));
     } else {
-      begin(question.request(), waiter, term, now, out);
+      start(message.request(), waiter, tenure, now, out);
     }
   }
 
-  /** Takes notice that witnesses keep entries. */
+  /** Handles the reply of a replica that keeps entries. */
   void stored(EntriesStored answer, ReplicaClient client, Instant now, List<Effect> out) {
     for (EntryMark mark : answer.stored()) {
       Run run = runs.get(mark.key());
-      boolean meant = run != null && EntryMark.of(run.entry()).equals(mark);
-      if (meant && client.isWitness(answer.witness())) {
+      boolean current = run != null && EntryMark.of(run.entry()).equals(mark);
+      if (current && client.isReplica(answer.witness())) {
         run.acks().add(answer.witness());
         if (client.stored(run)) {
-          witnessesAnswer = true;
-          durable(run, client, now, out);
+          replicasRespond = true;
+          onDurable(run, client, now, out);
         }
       }
     }
   }
 
-  /** Takes notice that entries stand in the log. */
-  void seen(List<RunOnceEntry> entries, ReplicaClient client, Instant now, List<Effect> out) {
+  /** Handles entries that are now in the log. */
+  void logged(List<RunOnceEntry> entries, ReplicaClient client, Instant now, List<Effect> out) {
     List<RunOnceEntry> ended = new ArrayList<>();
     for (RunOnceEntry entry : entries) {
       Run run = runs.get(entry.key());
       if (run != null && run.entry().equals(entry)) {
-        durable(run, client, now, out);
+        onDurable(run, client, now, out);
         if (run.phase() == Run.Phase.ENDED) {
           remove(run);
           ended.add(entry);
@@ -155,8 +160,11 @@
     }
   }
 
-  /** Ends the term: what was not dispatched never will be; what runs is still awaited. */
-  void leave(List<Effect> out) {
+  /**
+   * Ends the tenure. Attempts that were not dispatched are dropped and never will be dispatched;
+   * running calls are still awaited.
+   */
+  void endTenure(List<Effect> out) {
     for (Run run : List.copyOf(runs.values())) {
       if (run.phase() == Run.Phase.STORING) {
         run.redirectAll(out);
@@ -170,7 +178,7 @@
     recountWaiters();
   }
 
-  /** Hands outcomes that came too late for the own term to the current holder. */
+  /** Sends outcomes that arrived after the end of the tenure to the current holder. */
   void sendLate(@Nullable PartitionOpened opened, Instant now, List<Effect> out) {
     late.send(opened, now, out);
   }
@@ -180,7 +188,7 @@
       return;
     }
     sweptAt = now;
-    reader.stopLate(now, out);
+    reader.stopExpired(now, out);
     for (Run run : List.copyOf(runs.values())) {
       sweep(run, client, now, out);
     }
@@ -198,7 +206,7 @@
       }
       return;
     }
-    run.stopLate(now, out);
+    run.stopExpired(now, out);
     if (run.phase() == Run.Phase.STORING) {
       sweepStoring(run, client, now, out);
     }
@@ -206,8 +214,8 @@
 
   private void sweepStoring(
       Run run, @Nullable ReplicaClient client, Instant now, List<Effect> out) {
-    if (run.createdAt().plus(WITNESS_PATIENCE).isBefore(now)) {
-      witnessesAnswer = false;
+    if (run.createdAt().plus(REPLICA_ACK_TIMEOUT).isBefore(now)) {
+      replicasRespond = false;
     }
     boolean timedOut = !run.createdAt().plus(settings.durabilityTimeout()).isAfter(now);
     if (timedOut) {
@@ -220,7 +228,7 @@
 
   private List<Run> toResend(ReplicaClient client, Instant now) {
     return runs.values().stream()
-        .filter(run -> run.phase() != Run.Phase.RUNNING && run.isOffered())
+        .filter(run -> run.phase() != Run.Phase.RUNNING && run.isReplicationRequested())
         .filter(run -> !client.stored(run))
         .filter(run -> !run.sentAt().plus(settings.resendInterval()).isAfter(now))
         .limit(RESEND_BATCH)
@@ -257,8 +265,8 @@
     }
   }
 
-  private static boolean mayHaveRun(Waiter waiter, HolderTerm term, Instant now) {
-    return !waiter.firstSend() && term.unknownMayHaveRun(now);
+  private static boolean mayHaveRun(Waiter waiter, HolderTenure tenure, Instant now) {
+    return !waiter.firstSend() && tenure.unknownMayHaveRun(now);
   }
 
   private boolean full() {
@@ -268,8 +276,8 @@
         || resultBytes >= settings.maxResultBytes();
   }
 
-  private void begin(
-      RunOnceRequest request, Waiter waiter, HolderTerm term, Instant now, List<Effect> out) {
+  private void start(
+      RunOnceRequest request, Waiter waiter, HolderTenure tenure, Instant now, List<Effect> out) {
     Duration retention = settings.keyRetention();
     if (request.retention().compareTo(retention) > 0) {
       retention = request.retention();
@@ -278,7 +286,7 @@
         new RunOnceEntry(
             request.key(),
             request.fingerprint(),
-            new AttemptId(term.epoch(), nextSequence++),
+            new AttemptId(tenure.epoch(), nextSequence++),
             EntryState.INTENT,
             Optional.empty(),
             "",
@@ -288,13 +296,13 @@
     waiters++;
     runs.put(request.key(), run);
     log.add(intent, now);
-    if (log.stalled(now).compareTo(settings.maxWitnessOnly()) < 0) {
-      run.offered();
-      term.client().store(run, now, out);
+    if (log.stalledFor(now).compareTo(settings.maxReplicaOnly()) < 0) {
+      run.replicationRequested();
+      tenure.client().store(run, now, out);
     }
   }
 
-  private void durable(Run run, ReplicaClient client, Instant now, List<Effect> out) {
+  private void onDurable(Run run, ReplicaClient client, Instant now, List<Effect> out) {
     if (run.phase() == Run.Phase.ENDED) {
       run.answerAll(out);
     } else if (run.phase() == Run.Phase.STORING && run.request().deadline().isAfter(now)) {
@@ -336,7 +344,9 @@
     resultBytes -= run.resultBytes();
   }
 
-  /** Counts anew; between two counts the number is too high rather than too low. */
+  /**
+   * Recounts the waiting callers. Between two recounts the number is too high rather than too low.
+   */
   private void recountWaiters() {
     waiters = runs.values().stream().mapToInt(run -> run.waiters().size()).sum();
   }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/support/Waiter.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/support/Waiter.java
@@ -13,23 +13,23 @@
 import java.util.Optional;
 
 /**
- * A question that waits for its answer.
+ * Forwarded request whose caller waits for the answer.
  *
- * @param replyTo the entry that asked
- * @param id identifies the question
- * @param epoch the epoch of the question
- * @param firstSend whether nobody can have sent the key before
+ * @param replyTo the entry instance that forwarded the request
+ * @param id identifies the forwarded request
+ * @param epoch the epoch of the forwarded request
+ * @param firstSend whether the key cannot have been sent before
  * @param deadline when the caller needs the answer
  */
 record Waiter(InstanceId replyTo, RequestId id, Epoch epoch, boolean firstSend, Instant deadline) {
 
-  static Waiter of(ForwardRunOnce question) {
+  static Waiter of(ForwardRunOnce message) {
     return new Waiter(
-        question.replyTo(),
-        question.id(),
-        question.epoch(),
-        question.firstSend(),
-        question.request().deadline());
+        message.replyTo(),
+        message.id(),
+        message.epoch(),
+        message.firstSend(),
+        message.request().deadline());
   }
 
   Effect answer(RunOnceAnswer answer) {
@@ -44,7 +44,7 @@
     return new SendPeerMessage(replyTo, new RunOnceAnswered(id, epoch, Optional.empty()));
   }
 
-  boolean late(Instant now) {
+  boolean expired(Instant now) {
     return !deadline.isAfter(now);
   }
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/support/package-info.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/support/package-info.java
@@ -1,4 +1,4 @@
-/** State of run-once requests in the log and in memory, and the deciders of holder and entry. */
+/** Coordinator and forwarder of run-once requests, with their state in the log and in memory. */
 @NullMarked
 package io.hawthornlb.core.runonce.support;
 
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/runonce/RunOnceBench.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/runonce/RunOnceBench.java
@@ -19,7 +19,10 @@
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 
-/** Log-only intents against witnesses, under modelled delays; prints lines of a table. */
+/**
+ * Compares log-only intents with replicated intents under modelled delays, and prints the rows of a
+ * table.
+ */
 @Tag("bench")
 class RunOnceBench {
 
@@ -38,9 +41,9 @@
   void servedInAnOutage() {
     outage("no intents", Variant.WITHOUT_INTENTS, false);
     outage("log only", Variant.STANDARD, false);
-    outage("two witnesses", Variant.STANDARD, false, 1, 2);
-    outage("two witnesses, one of them lost", Variant.STANDARD, true, 1, 2);
-    outage("three witnesses, one of them lost", Variant.STANDARD, true, 1, 2, 3);
+    outage("two replicas", Variant.STANDARD, false, 1, 2);
+    outage("two replicas, one of them lost", Variant.STANDARD, true, 1, 2);
+    outage("three replicas, one of them lost", Variant.STANDARD, true, 1, 2, 3);
   }
 
   @Test
@@ -78,8 +81,8 @@
   private static void measure(String site, Delays delays, int rate) {
     print(site, rate, "no intents", new Trial(delays, Variant.WITHOUT_INTENTS), rate);
     print(site, rate, "log only", new Trial(delays, Variant.STANDARD), rate);
-    print(site, rate, "two witnesses", new Trial(delays, Variant.STANDARD, 1, 2), rate);
-    print(site, rate, "three witnesses", new Trial(delays, Variant.STANDARD, 1, 2, 3), rate);
+    print(site, rate, "two replicas", new Trial(delays, Variant.STANDARD, 1, 2), rate);
+    print(site, rate, "three replicas", new Trial(delays, Variant.STANDARD, 1, 2, 3), rate);
   }
 
   private static void print(String site, int rate, String name, Trial trial, int perSecond) {
@@ -98,8 +101,8 @@
         (trial.scenario.cluster().log().appends() - appends) / seconds);
   }
 
-  private static void outage(String name, Variant variant, boolean lost, Integer... witnesses) {
-    Trial trial = new Trial(Delays.AL_HARTHY, variant, witnesses);
+  private static void outage(String name, Variant variant, boolean lost, Integer... replicas) {
+    Trial trial = new Trial(Delays.AL_HARTHY, variant, replicas);
     trial.scenario.cluster().log().down(true);
     if (lost) {
       trial.scenario.node(1).kill();
@@ -112,7 +115,7 @@
         name, share, notRun);
   }
 
-  /** One holder, three entries, arrivals fixed beforehand. */
+  /** One holder and three entry instances; the arrival times are fixed in advance. */
   private static final class Trial {
 
     private final RunOnceScenario scenario;
@@ -121,10 +124,10 @@
     private int served;
     private int notRun;
 
-    private Trial(Delays delays, Variant variant, Integer... witnesses) {
+    private Trial(Delays delays, Variant variant, Integer... replicas) {
       scenario = new RunOnceScenario(99, RunOnceSettings.builder().build(), variant, delays);
       scenario.cluster().endpoint().duration(CALL);
-      scenario.claim(0, witnesses);
+      scenario.claim(0, replicas);
       scenario.cluster().run(Duration.ofSeconds(1));
     }
 
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/runonce/RunOnceExplorationTest.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/runonce/RunOnceExplorationTest.java
@@ -15,39 +15,41 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Random failures, alone and together, by seed. */
+/** Runs random failures, single and combined, each sequence from a seed. */
 class RunOnceExplorationTest {
 
   private static final int SEEDS = Integer.getInteger("hawthornlb.exploration.seeds", 150);
   private static final int CALLERS = 12;
 
-  // Check-ins run twice, or are said not to have run, in some order of kills, pauses, outages, lost
-  // answers and cuts that nobody thought of.
+  // Guards against an order of kills, pauses, log outages, lost replies and network partitions in
+  // which a request runs twice, or is reported as not run although it ran.
   @Test
   void runsAtMostOnceUnderAnyFailures() {
     int completed = 0;
     for (int seed = 0; seed < SEEDS; seed++) {
       Outcome outcome = explore(seed, Variant.STANDARD);
-      assertEquals(List.of(), outcome.doubled(), "seed " + seed);
+      assertEquals(List.of(), outcome.executedTwice(), "seed " + seed);
       assertEquals(List.of(), outcome.falseNotRun(), "seed " + seed);
       completed += outcome.completed();
     }
-    assertTrue(completed > SEEDS * CALLERS / 4, "most requests end well, " + completed);
+    assertTrue(
+        completed > SEEDS * CALLERS / 4,
+        "more than a quarter of the requests must complete, " + completed);
   }
 
-  // The same failures with one guard out each: some seed must show the harm, or the test above
-  // proves nothing.
+  // Repeats the failures with one safeguard removed at a time. Some seed must then show a duplicate
+  // execution; otherwise the test above proves nothing.
   @ParameterizedTest
   @EnumSource(
       value = Variant.class,
       names = {"WITHOUT_INTENTS", "WITHOUT_FENCE"})
-  void eachGuardIsNeeded(Variant variant) {
-    boolean harmed =
+  void eachSafeguardIsNeeded(Variant variant) {
+    boolean duplicated =
         IntStream.range(0, SEEDS)
             .mapToObj(seed -> explore(seed, variant))
-            .anyMatch(outcome -> !outcome.doubled().isEmpty());
+            .anyMatch(outcome -> !outcome.executedTwice().isEmpty());
 
-    assertTrue(harmed, "no seed shows the harm of " + variant);
+    assertTrue(duplicated, "no seed shows a duplicate execution with " + variant);
   }
 
   private static Outcome explore(int seed, Variant variant) {
@@ -101,12 +103,15 @@
       if (random.nextBoolean()) {
         scenario.claim(node);
       } else {
-        scenario.claimWithFour(node);
+        scenario.claimWithThreeReplicas(node);
       }
     }
   }
 
-  /** Sends a key through some entry, and again where the answer leaves something to hope for. */
+  /**
+   * Sends a key through a random entry instance, and resends it until the caller gives up after
+   * "not run".
+   */
   private static final class Caller {
 
     private final RunOnceScenario scenario;
@@ -147,23 +152,25 @@
       gaveUpNotRun = notRun && !overlapping && random.nextBoolean();
     }
 
-    private boolean toldFalsely() {
-      return scenario.falselyTold().contains(key) || gaveUpNotRun && scenario.executions(key) > 0;
+    private boolean gotWrongNotRun() {
+      return scenario.wrongNotRunKeys().contains(key)
+          || gaveUpNotRun && scenario.executions(key) > 0;
     }
   }
 
-  private record Outcome(List<RunOnceKey> doubled, List<RunOnceKey> falseNotRun, int completed) {
+  private record Outcome(
+      List<RunOnceKey> executedTwice, List<RunOnceKey> falseNotRun, int completed) {
 
     private static Outcome of(RunOnceScenario scenario, List<Caller> callers) {
-      List<RunOnceKey> doubled =
+      List<RunOnceKey> executedTwice =
           callers.stream()
               .map(caller -> caller.key)
               .filter(key -> scenario.executions(key) > 1)
               .toList();
-      List<RunOnceKey> told =
-          callers.stream().filter(Caller::toldFalsely).map(caller -> caller.key).toList();
+      List<RunOnceKey> wrongNotRun =
+          callers.stream().filter(Caller::gotWrongNotRun).map(caller -> caller.key).toList();
       long once = callers.stream().filter(caller -> scenario.executions(caller.key) == 1).count();
-      return new Outcome(doubled, told, (int) once);
+      return new Outcome(executedTwice, wrongNotRun, (int) once);
     }
   }
 }
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/runonce/RunOnceFailureTest.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/runonce/RunOnceFailureTest.java
@@ -33,9 +33,9 @@
     assertEquals(1, scenario.executions(KEY));
   }
 
-  // A waiter is checked in once, and a second time when the app sends again after the answer was
-  // lost: the holder died after the venue's service had run the check-in, and its successor knew
-  // nothing of it. The kill comes after each number of milliseconds, so at each step in turn.
+  // Guards against a second execution when the holder dies after the service ran the request and
+  // the caller resends it to the successor. The kill comes after each of these numbers of
+  // milliseconds, and so at each step in turn.
   @ParameterizedTest
   @ValueSource(ints = {0, 1, 2, 3, 4, 5, 6, 7, 8, 10, 12, 14, 16, 18, 20, 25, 30, 40, 60})
   void runsAtMostOnceWhenTheHolderDies(int afterMillis) {
@@ -57,7 +57,7 @@
   }
 
   @Test
-  void withoutDurableIntentsADyingHolderMakesItRunTwice() {
+  void runsTwiceWithoutDurableIntentsWhenTheHolderDies() {
     RunOnceScenario naive =
         new RunOnceScenario(1, RunOnceScenario.settings(), Variant.WITHOUT_INTENTS);
     naive.claim(0);
@@ -73,11 +73,11 @@
     assertEquals(2, naive.executions(KEY));
   }
 
-  // A waiter is checked in twice although nobody died: the holder stood still in the middle of the
-  // request, another took over and ran the resend, and then the first one woke up and went on.
+  // Guards against a second execution when a holder pauses in the middle of a request, another
+  // instance takes over and runs the resend, and the paused holder resumes and continues.
   @ParameterizedTest
   @ValueSource(ints = {0, 1, 2, 3, 4, 5, 6, 8, 10, 12, 15, 20})
-  void runsAtMostOnceWhenAPausedHolderWakesUp(int afterMillis) {
+  void runsAtMostOnceWhenAPausedHolderResumes(int afterMillis) {
     scenario.settle(0);
     RequestId first = scenario.send(0, KEY, false);
     scenario.cluster().run(Duration.ofMillis(afterMillis));
@@ -93,12 +93,11 @@
     assertTrue(scenario.executions(KEY) <= 1);
   }
 
-  // A data centre that is cut off from the platform, but not from its peers, checks a waiter in
-  // once
-  // more: its entry still takes the old holder for the current one, and the witnesses of the old
-  // epoch still answer.
+  // Guards against a second execution in a data centre that is cut off from the platform but not
+  // from its peers: its entry instance still takes the old holder for the current one, and the
+  // replicas of the old epoch still reply.
   @Test
-  void holderThatIsCutOffFromTheLogIsFencedByItsWitnesses() {
+  void holderCutOffFromTheLogIsFencedByItsReplicas() {
     assertEquals(1, executionsWithAHolderCutOff(Variant.STANDARD));
     assertEquals(2, executionsWithAHolderCutOff(Variant.WITHOUT_FENCE));
   }
@@ -114,8 +113,8 @@
     return cut.executions(KEY);
   }
 
-  // The successor of a paused holder says that a check-in may have run, and the app never learns
-  // that it did: the outcome came when the holder had lost its claim, and its record was void.
+  // Guards against the loss of an outcome that arrives after its holder has lost the claim. The log
+  // ignores the record of the old holder, so the successor would report "may have run" for ever.
   @Test
   void outcomeOfASupersededHolderReachesItsSuccessor() {
     scenario.settle(0);
@@ -132,10 +131,10 @@
     assertEquals(1, scenario.executions(KEY));
   }
 
-  // Waiters stand outside while the platform is down for a minute, because the check-in app can't
-  // store its intents there. The witnesses hold them instead.
+  // Guards against refusals while the platform is down for a minute and the log accepts no intents.
+  // The replicas keep the intents instead.
   @Test
-  void checkInsGoOnWhileTheLogIsDown() {
+  void requestsAreServedWhileTheLogIsDown() {
     scenario.settle(0);
     scenario.cluster().log().down(true);
     for (int i = 0; i < 60; i++) {
@@ -150,10 +149,10 @@
     assertEquals(0, scenario.node(1).table().size());
   }
 
-  // A check-in runs twice after an outage: the holder died in it, with the intent at its witnesses
-  // only, and the successor took the log for the whole truth.
+  // Guards against a second execution after a holder died in an outage of the log: the replicas
+  // alone hold the intent, so a successor that trusts only the log would run the request again.
   @Test
-  void successorLearnsFromAWitnessWhatTheLogDoesNotHold() {
+  void successorRecoversFromAReplicaWhatTheLogLacks() {
     scenario.settle(0);
     scenario.cluster().log().down(true);
     assertTrue(scenario.await(scenario.send(3, KEY, false)).result().isPresent());
@@ -167,11 +166,10 @@
     assertEquals(1, scenario.executions(KEY));
   }
 
-  // Waiters stand outside again although the platform's outage alone does no harm: one of the
-  // instances that keep intents died in it. With three witnesses one may be silent, and a successor
-  // still learns everything from any two.
+  // Guards against refusals when one replica dies during an outage of the log. With three replicas
+  // one may fail to respond, and a successor still recovers all entries from any two members.
   @Test
-  void checkInsGoOnWhenAWitnessIsLostInAnOutage() {
+  void requestsAreServedWhenAReplicaIsLostInALogOutage() {
     scenario.claim(0, 1, 2, 3);
     scenario.cluster().run(Duration.ofSeconds(1));
     scenario.cluster().log().down(true);
@@ -186,7 +184,7 @@
     assertEquals(1, scenario.executions(KEY));
   }
 
-  // A successor that finds one member only can't know whether it was the silent one.
+  // A successor that reaches only one member cannot know whether this member missed the intent.
   @Test
   void oneMemberOfFourIsNotEnoughToRecover() {
     scenario.claim(0, 1, 2, 3);
@@ -205,10 +203,11 @@
     assertEquals(1, scenario.executions(KEY));
   }
 
-  // All three that knew of a check-in died before the log did. Whoever runs it again may check the
-  // waiter in twice; so it is refused as "may have run", while new keys of entries go on.
+  // All three members that kept an intent died before the log contained it. Running the key again
+  // could execute it twice, so the key is refused as "may have run". Keys generated by entry
+  // instances are still served.
   @Test
-  void keysAreNotRunWhenAllWitnessesAreLost() {
+  void keysAreNotRunWhenAllReplicasAreLost() {
     scenario.settle(0);
     scenario.cluster().log().down(true);
     assertTrue(scenario.await(scenario.send(3, KEY, false)).result().isPresent());
@@ -227,10 +226,10 @@
     assertEquals(1, scenario.executions(KEY));
   }
 
-  // A data centre with the holder and its witnesses is cut off and goes on; the others take over
-  // and, once the cut heals, learn what was run there, and serve all keys again.
+  // A holder and its replicas are cut off together and continue. The other instances take over.
+  // Once the cut heals, they recover what ran there and serve all keys again.
   @Test
-  void unresolvedEpochIsCollectedOnceItsWitnessesComeBack() {
+  void unresolvedEpochIsCollectedOnceItsReplicasReturn() {
     scenario.settle(0);
     for (int inside = 0; inside < 3; inside++) {
       scenario.cluster().cutFromLog(scenario.node(inside));
@@ -253,10 +252,10 @@
     assertEquals(1, scenario.executions(KEY));
   }
 
-  // A holder that hands over at a graceful stop leaves nothing to its witnesses, so its successor
-  // need not find any of them.
+  // A holder that drains before a graceful stop leaves no entries at its replicas, so its successor
+  // need not reach any of them.
   @Test
-  void drainedHolderReleasesItsWitnesses() {
+  void drainedHolderReleasesItsReplicas() {
     scenario.settle(0);
     assertTrue(scenario.await(scenario.send(3, KEY, false)).result().isPresent());
     scenario.node(0).runOnce(new Drain());
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/runonce/RunOnceFoldPropertyTest.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/runonce/RunOnceFoldPropertyTest.java
@@ -27,8 +27,8 @@
 
   private static final int KEYS = 4;
 
-  // Two instances disagree on whether a check-in has run, since appends of its intent and outcome
-  // came twice and in another order than they were made.
+  // Guards against two instances that disagree on whether a request has run because they read its
+  // intent and outcome repeatedly or in another order.
   @Property(tries = 500, seed = "20261203")
   void stateOfAKeyIsItsGreatestEntryInAnyOrder(@ForAll long seed) {
     Random random = new Random(seed);
@@ -36,14 +36,14 @@
     for (int i = 0; i < 30; i++) {
       entries.add(entry(random));
     }
-    Map<RunOnceKey, RunOnceEntry> naive = new HashMap<>();
-    entries.forEach(entry -> naive.merge(entry.key(), entry, (a, b) -> b.supersedes(a) ? b : a));
+    Map<RunOnceKey, RunOnceEntry> expected = new HashMap<>();
+    entries.forEach(entry -> expected.merge(entry.key(), entry, (a, b) -> b.supersedes(a) ? b : a));
     entries.addAll(List.copyOf(entries.subList(0, 10)));
     Collections.shuffle(entries, random);
 
     RunOnceFold fold = fold(entries);
-    assertEquals(naive.size(), fold.size());
-    naive.forEach(
+    assertEquals(expected.size(), fold.size());
+    expected.forEach(
         (key, entry) -> {
           KeyState state = fold.key(key).orElseThrow();
           assertEquals(entry.attempt(), state.attempt());
@@ -53,10 +53,11 @@
         });
   }
 
-  // The result of a check-in can't be read any more an hour later, because the platform has dropped
-  // its record, and a reader that starts then takes the key for new.
+  // Guards against the loss of results when the platform drops their records after the log
+  // retention. Without a refresh the result is unreadable later, and an instance that starts then
+  // takes the key for new.
   @Test
-  void resultsStayReadableWhenTheLogForgetsThem() {
+  void resultsStayReadableAfterTheLogDropsTheirRecords() {
     Duration retention = Duration.ofMinutes(2);
     RunOnceSettings settings = RunOnceSettings.builder().logRetention(retention).build();
     RunOnceScenario scenario = new RunOnceScenario(5, settings, Variant.STANDARD);
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/runonce/RunOncePolicyTest.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/runonce/RunOncePolicyTest.java
@@ -18,7 +18,7 @@
   private static final ServiceName SERVICE = new ServiceName("checkin-app");
 
   @Test
-  void catalogueAndKeyDecide() {
+  void repeatabilityAndKeyDetermineThePolicy() {
     assertTrue(applies(Repeatability.NEVER, "GET", false));
     assertTrue(applies(Repeatability.SAFE_METHODS, "POST", false));
     assertFalse(applies(Repeatability.SAFE_METHODS, "get", false));
@@ -26,10 +26,10 @@
     assertTrue(applies(Repeatability.IDEMPOTENT, "POST", true));
   }
 
-  // Two calls under one key count as the same, and one of them never runs: their parts, put end to
-  // end, gave the same text.
+  // Guards against equal fingerprints of two calls whose parts give the same text when
+  // concatenated: the second call would count as a resend of the first and never run.
   @Test
-  void partsOfACallDoNotRunTogether() {
+  void fingerprintSeparatesThePartsOfACall() {
     ServiceCall one = new ServiceCall("POST", "/ab", List.of(), "c");
     ServiceCall other = new ServiceCall("POST", "/a", List.of(), "bc");
     ServiceCall withHeader =
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/runonce/RunOnceScenario.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/runonce/RunOnceScenario.java
@@ -23,7 +23,10 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** Five instances in three data centres, of which three keep intents, and callers that resend. */
+/**
+ * Scenario with five instances, a holder with two or three replicas, and callers that resend their
+ * requests.
+ */
 final class RunOnceScenario {
 
   static final Duration DEADLINE = Duration.ofSeconds(4);
@@ -33,7 +36,7 @@
   private final Map<RequestId, RunOnceAnswer> answers = new LinkedHashMap<>();
   private final Map<RequestId, RunOnceKey> keys = new LinkedHashMap<>();
   private final Map<RunOnceKey, RequestId> lastSends = new LinkedHashMap<>();
-  private final List<RunOnceKey> falselyTold = new ArrayList<>();
+  private final List<RunOnceKey> wrongNotRunKeys = new ArrayList<>();
   private Consumer<AnswerCaller> listener = answer -> {};
   private int nextRequest;
 
@@ -68,28 +71,30 @@
     return nodes.get(index);
   }
 
-  /** Lets a node hold the partition, with the three next ones as witnesses. */
-  void claimWithFour(int holder) {
+  /** Lets a node claim the partition, with the next three nodes as replicas. */
+  void claimWithThreeReplicas(int holder) {
     claim(holder, (holder + 1) % 5, (holder + 2) % 5, (holder + 3) % 5);
   }
 
-  /** Lets a node hold the partition, with the two next ones as witnesses. */
+  /** Lets a node claim the partition, with the next two nodes as replicas. */
   void claim(int holder) {
     claim(holder, (holder + 1) % 5, (holder + 2) % 5);
   }
 
-  void claim(int holder, Integer... witnesses) {
+  void claim(int holder, Integer... replicas) {
     List<InstanceId> ids = new ArrayList<>();
-    for (int witness : witnesses) {
-      ids.add(nodes.get(witness).id());
+    for (int replica : replicas) {
+      ids.add(nodes.get(replica).id());
     }
     cluster.claim(nodes.get(holder), ids);
   }
 
-  /** Claims and waits until the holder answers requests. */
+  /** Lets a node claim the partition, and waits until it is ready for requests. */
   void settle(int holder) {
     claim(holder);
-    assertTrue(cluster.runUntil(() -> ready(holder), Duration.ofSeconds(10)), "holder is ready");
+    assertTrue(
+        cluster.runUntil(() -> ready(holder), Duration.ofSeconds(10)),
+        "the holder must become ready within 10 seconds");
   }
 
   RequestId send(int entry, RunOnceKey key, boolean generated) {
@@ -118,7 +123,7 @@
 
   RunOnceAnswer await(RequestId id) {
     cluster.runUntil(() -> answers.containsKey(id), DEADLINE.plusSeconds(2));
-    assertTrue(answers.containsKey(id), "the caller gets an answer");
+    assertTrue(answers.containsKey(id), "the caller must get an answer");
     return answers.get(id);
   }
 
@@ -138,9 +143,12 @@
     return cluster.endpoint().executions(key);
   }
 
-  /** Returns keys of which "not run" was said although this or an earlier send had run. */
-  List<RunOnceKey> falselyTold() {
-    return falselyTold;
+  /**
+   * Returns the keys whose last request was answered with "not run" although this send or an
+   * earlier one had run.
+   */
+  List<RunOnceKey> wrongNotRunKeys() {
+    return wrongNotRunKeys;
   }
 
   static RunStatus status(RunOnceAnswer answer) {
@@ -158,17 +166,21 @@
   }
 
   private void answered(AnswerCaller effect) {
-    assertTrue(answers.put(effect.id(), effect.answer()) == null, "one answer a request");
+    assertTrue(
+        answers.put(effect.id(), effect.answer()) == null, "a request must get exactly one answer");
     listener.accept(effect);
     RunOnceKey key = keys.get(effect.id());
     RunOnceAnswer answer = effect.answer();
     if (answer.result().isPresent()) {
-      assertEquals(FakeEndpoint.result(key), answer.result().get(), "the caller's own result");
+      assertEquals(
+          FakeEndpoint.result(key),
+          answer.result().get(),
+          "the caller must get the result of its own request");
     } else if (status(answer) == RunStatus.NOT_RUN
         && answer.stopPoint().orElseThrow() != StopPoint.CONTENT_CONFLICT
         && effect.id().equals(lastSends.get(key))
         && executions(key) > 0) {
-      falselyTold.add(key);
+      wrongNotRunKeys.add(key);
     }
   }
 }
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/runonce/StopPointTest.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/runonce/StopPointTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Brings a request to a stop at each point and looks at what its caller is told. */
+/** Makes a request stop at each point and checks what its caller is told. */
 class StopPointTest {
 
   private static final RunOnceKey KEY = RunOnceScenario.key("waiter-7");
@@ -28,15 +28,15 @@
           RunOnceSettings.builder().recoveryTimeout(Duration.ofSeconds(6)).maxRuns(1).build(),
           Variant.STANDARD);
 
-  // A refusal says "not run", the coordinator of the venue sends a second worker or checks the
-  // first one in under a new key, and the service runs both: the statement was false.
+  // Guards against a false "not run". The caller then repeats the request under a new key, and the
+  // service runs it twice.
   @ParameterizedTest
   @EnumSource
-  void callerIsToldTheTruth(StopPoint point) {
-    RunOnceAnswer answer = bringAbout(point);
+  void refusalMatchesWhatRan(StopPoint point) {
+    RunOnceAnswer answer = stopAt(point);
 
     assertEquals(point, answer.stopPoint().orElseThrow());
-    assertEquals(List.of(), scenario.falselyTold());
+    assertEquals(List.of(), scenario.wrongNotRunKeys());
     assertEquals(point.refusal(false).reason(), answer.refusal().orElseThrow().reason());
     if (RunOnceScenario.status(answer) == RunStatus.NOT_RUN) {
       int before = scenario.executions(KEY);
@@ -47,18 +47,18 @@
     }
   }
 
-  // A caller's key may have been sent before, through an entry and a holder that this one can't
-  // reach: "not run" would be said of a request that has run.
+  // A caller may have sent its key before, through an entry instance and a holder that this
+  // instance cannot reach. Guards against "not run" for such a request, which may have run.
   @ParameterizedTest
   @EnumSource
-  void onlyDurableKnowledgeOfAKeySaysNotRun(StopPoint point) {
+  void resendIsReportedAsNotRunOnlyWithDurableKnowledge(StopPoint point) {
     boolean durable = point == StopPoint.CONTENT_CONFLICT || point == StopPoint.NOT_DISPATCHED;
 
     RunStatus expected = durable ? RunStatus.NOT_RUN : RunStatus.MAY_HAVE_RUN;
     assertEquals(expected, point.runStatus(false));
   }
 
-  private RunOnceAnswer bringAbout(StopPoint point) {
+  private RunOnceAnswer stopAt(StopPoint point) {
     return switch (point) {
       case NO_HOLDER -> send(true);
       case ENTRY_FULL -> entryFull();
