--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/chart/ChartInstance.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/chart/ChartInstance.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 
 /**
- * One thing that moves through a chart; confined to one thread.
+ * Current state of one object that follows a chart. Instances are confined to one thread.
  *
  * @param <S> the states
  * @param <E> the events
@@ -15,13 +15,13 @@
   private final StateChart<S, E, A> chart;
   private S state;
 
-  /** Starts in the initial state. */
+  /** Creates an instance in the initial state. */
   public ChartInstance(StateChart<S, E, A> chart) {
     this.chart = chart;
     this.state = chart.initial();
   }
 
-  /** Goes on from a state that was kept elsewhere. */
+  /** Creates an instance in a given state, such as one restored from a record. */
   public ChartInstance(StateChart<S, E, A> chart, S state) {
     this.chart = chart;
     this.state = state;
@@ -38,7 +38,7 @@
   }
 
   /**
-   * Moves to the next state and returns the actions to carry out, none if the event is ignored.
+   * Handles an event and returns the actions to perform, or an empty list if the event is ignored.
    *
    * @throws UnexpectedEventException if the chart does not allow the event in this state
    */
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/chart/ChartTypes.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/chart/ChartTypes.java
@@ -1,14 +1,15 @@
 package io.hawthornlb.core.chart;
 
 /**
- * The types that a chart's names stand for; in files they are lower case with hyphens.
+ * Enum types of the states, events and actions of a chart. In chart files the constants are written
+ * in lower case with hyphens.
  *
  * @param <S> the states
  * @param <E> the events
  * @param <A> the actions
- * @param states the type of its states
- * @param events the type of its events
- * @param actions the type of its actions
+ * @param states the type of the states
+ * @param events the type of the events
+ * @param actions the type of the actions
  */
 public record ChartTypes<S extends Enum<S>, E extends Enum<E>, A extends Enum<A>>(
     Class<S> states, Class<E> events, Class<A> actions) {
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/chart/NoAction.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/chart/NoAction.java
@@ -1,4 +1,4 @@
 package io.hawthornlb.core.chart;
 
-/** The actions of charts that have none. */
+/** Action type of charts without actions. */
 public enum NoAction {}
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/chart/StateChart.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/chart/StateChart.java
@@ -3,11 +3,11 @@
 import java.util.Optional;
 
 /**
- * A checked state chart.
+ * State chart whose file has been checked.
  *
- * <p>Every state can be reached from the initial one, and a final state can be reached from every
- * state; in an endless chart every state leads to another. In a state an event leads to one
- * transition, is ignored, or is unexpected.
+ * <p>Every state can be reached from the initial state. A final state can be reached from every
+ * state, except in an endless chart, where every state has a transition to another state. In each
+ * state, an event causes one transition, is ignored, or is unexpected.
  *
  * @param <S> the states
  * @param <E> the events
@@ -18,13 +18,16 @@
   /** Returns the name of the chart. */
   String name();
 
-  /** Returns the state that instances start in. */
+  /** Returns the initial state. */
   S initial();
 
-  /** Returns whether no event leads out of a state. */
+  /** Returns whether a state is final, that is, has no transitions. */
   boolean isFinal(S state);
 
-  /** Returns where an event leads from a state; empty if it is ignored or unexpected there. */
+  /**
+   * Returns the transition that an event causes in a state, or empty if the event is ignored or
+   * unexpected there.
+   */
   Optional<Transition<S, A>> transition(S state, E event);
 
   /** Returns whether an event is allowed in a state and changes nothing. */
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/chart/Transition.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/chart/Transition.java
@@ -3,16 +3,16 @@
 import java.util.List;
 
 /**
- * Where an event leads.
+ * Transition that an event causes.
  *
  * @param <S> the states
  * @param <A> the actions
  * @param target the next state
- * @param actions what to do, in this order
+ * @param actions the actions to perform, in this order
  */
 public record Transition<S, A>(S target, List<A> actions) {
 
-  /** Copies the actions. */
+  /** Copies the list of actions. */
   public Transition {
     actions = List.copyOf(actions);
   }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/chart/package-info.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/chart/package-info.java
@@ -1,4 +1,4 @@
-/** State charts that stand in YAML files and are checked before they are interpreted. */
+/** State charts that are read from YAML files and checked before they are used. */
 @NullMarked
 package io.hawthornlb.core.chart;
 
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/chart/support/ChartResources.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/chart/support/ChartResources.java
@@ -9,7 +9,7 @@
 import java.io.UncheckedIOException;
 import java.nio.charset.StandardCharsets;
 
-/** Loads charts that are shipped with the program. */
+/** Loads the chart files that are part of the program. */
 public final class ChartResources {
 
   private static final YamlStateChartReader READER = new YamlStateChartReader();
@@ -17,7 +17,7 @@
   private ChartResources() {}
 
   /**
-   * Loads the chart file {@code name} beside a class.
+   * Loads the chart file {@code name} from the package of a class.
    *
    * @throws InvalidChartException with all findings if the file has faults
    */
@@ -31,7 +31,8 @@
 
   private static String text(Class<?> anchor, String name) {
     try (InputStream stream = anchor.getResourceAsStream(name)) {
-      Checks.isTrue(stream != null, "no chart file " + name + " beside " + anchor.getName());
+      Checks.isTrue(
+          stream != null, "no chart file " + name + " in the package of " + anchor.getName());
       return new String(stream.readAllBytes(), StandardCharsets.UTF_8);
     } catch (IOException e) {
       throw new UncheckedIOException(e);
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/chart/support/ChartTable.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/chart/support/ChartTable.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** States, transitions and ignored events as they are read from a file. */
+/** States, transitions and ignored events, as read from a chart file. */
 final class ChartTable<S extends Enum<S>, E extends Enum<E>, A extends Enum<A>> {
 
   private final ChartTypes<S, E, A> types;
@@ -52,7 +52,7 @@
     return ignored.get(state);
   }
 
-  /** Returns the events that some state handles or ignores. */
+  /** Returns the events that at least one state handles or ignores. */
   Set<E> usedEvents() {
     Set<E> used = EnumSet.noneOf(types.events());
     transitions.values().forEach(byEvent -> used.addAll(byEvent.keySet()));
@@ -60,7 +60,7 @@
     return used;
   }
 
-  /** Returns the states that can be reached from a state, itself included. */
+  /** Returns the states that can be reached from a state, including that state. */
   Set<S> reachableFrom(S start) {
     Set<S> reached = EnumSet.of(start);
     Deque<S> open = new ArrayDeque<>(reached);
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/chart/support/StateChartBinding.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/chart/support/StateChartBinding.java
@@ -15,7 +15,7 @@
 import java.util.Set;
 import java.util.function.Supplier;
 
-/** Fills a table from the sections of a chart file and checks it as a graph. */
+/** Fills a {@link ChartTable} from the sections of a chart file, and checks it as a graph. */
 final class StateChartBinding<S extends Enum<S>, E extends Enum<E>, A extends Enum<A>>
     implements ConfigBinding<StateChart<S, E, A>> {
 
@@ -127,7 +127,7 @@
             checkFinal(states, key, hasExit, endless);
           } else if (endless) {
             if (table.reachableFrom(state).size() == 1) {
-              states.reject(key, "dead end: nothing leads from here");
+              states.reject(key, "dead end: no transition leads to another state");
             }
           } else if (Collections.disjoint(table.reachableFrom(state), table.finals())) {
             states.reject(key, "dead end: no final state can be reached from here");
@@ -138,7 +138,7 @@
   private static void checkFinal(
       ConfigSection states, String key, boolean hasExit, boolean endless) {
     if (hasExit) {
-      states.reject(key, "a final state has no transitions; remove them or final");
+      states.reject(key, "a final state has no transitions; remove on or final");
     }
     if (endless) {
       states.reject(key, "an endless chart has no final state; remove endless or final");
@@ -148,7 +148,7 @@
   private void checkDeterministic(ConfigSection section, ChartTable<S, E, A> table, S state) {
     for (E event : table.ignored(state)) {
       if (table.transitions(state).containsKey(event)) {
-        section.reject("ignore", "event " + EnumNames.name(event) + " is handled here too");
+        section.reject("ignore", "event " + EnumNames.name(event) + " is both handled and ignored");
       }
     }
   }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/chart/support/TableStateChart.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/chart/support/TableStateChart.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** A chart as tables by state and event. */
+/** State chart that looks up transitions in tables by state and event. */
 final class TableStateChart<S extends Enum<S>, E extends Enum<E>, A extends Enum<A>>
     implements StateChart<S, E, A> {
 
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/chart/support/YamlStateChartReader.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/chart/support/YamlStateChartReader.java
@@ -9,7 +9,7 @@
 import java.util.List;
 
 /**
- * Reads charts from YAML.
+ * Reads charts from YAML files such as the following:
  *
  * <pre>
  * chart: door
@@ -22,7 +22,8 @@
  *   opened: {final: true}
  * </pre>
  *
- * <p>With {@code endless: true} a chart has no final state, for what goes on as long as the system.
+ * <p>A chart with {@code endless: true} has no final state. Use it for an object that exists as
+ * long as the system.
  */
 public final class YamlStateChartReader implements StateChartReader {
 
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/chart/support/package-info.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/chart/support/package-info.java
@@ -1,4 +1,4 @@
-/** Reads, checks and holds state charts. */
+/** Reading, checking and execution of state charts. */
 @NullMarked
 package io.hawthornlb.core.chart.support;
 
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/suspect/ClearNotice.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/suspect/ClearNotice.java
@@ -6,7 +6,7 @@
 /**
  * Tells peers that a suspect ran alone and did not crash its endpoint.
  *
- * @param fingerprint the request
+ * @param fingerprint the fingerprint of the suspect
  * @param at when it ended
  */
 public record ClearNotice(Fingerprint fingerprint, Instant at) implements PeerMessage {}
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/suspect/CrashNotice.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/suspect/CrashNotice.java
@@ -7,14 +7,15 @@
 import java.util.List;
 
 /**
- * Tells peers that an endpoint crashed while these requests ran.
+ * Tells peers that an endpoint crashed while it ran certain requests.
  *
- * @param reporter who saw it
- * @param sequence number of the crash at the reporter; names the crash together with it
+ * @param reporter the instance that observed the crash
+ * @param sequence the number of the crash among those of the reporter; identifies the crash
+ *     together with the reporter
  * @param endpoint the endpoint
- * @param at when
- * @param suspects the requests that ran there
- * @param alone whether there was only one and the endpoint was kept for it
+ * @param at when the crash was observed
+ * @param suspects the fingerprints of the requests that the reporter ran there
+ * @param alone whether there was only one request and the endpoint was reserved for it
  */
 public record CrashNotice(
     InstanceId reporter,
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/suspect/Fingerprint.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/suspect/Fingerprint.java
@@ -4,13 +4,14 @@
 import io.hawthornlb.core.util.Checks;
 
 /**
- * Identifies a request by its content, so that a resend through another entry has the same one.
+ * Identifies a request by its content, so that a resend through another entry instance has the same
+ * fingerprint.
  *
- * @param value hash of service and body
+ * @param value a hash of service and body
  */
 public record Fingerprint(long value) {
 
-  /** Returns the fingerprint of a body sent to a service. */
+  /** Returns the fingerprint of a body that is sent to a service. */
   public static Fingerprint of(String service, byte[] body) {
     Checks.hasText(service, "service");
     long hash =
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/suspect/SuspectTable.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/suspect/SuspectTable.java
@@ -6,38 +6,53 @@
 import java.util.List;
 import java.util.Set;
 
-/** Counts crashes by fingerprint, with the counts of peers; confined to one thread. */
+/**
+ * Records which requests ran at endpoints that crashed, as observed by this instance and by its
+ * peers. Implementations are confined to one thread.
+ */
 public interface SuspectTable {
 
-  /** Decides on a request, given the endpoints of its service that take work. */
+  /** Returns how a request may run, given the endpoints of its service that accept work. */
   Verdict judge(Fingerprint fingerprint, Set<EndpointId> endpoints, Instant now);
 
-  /** Notes that a suspect starts alone at an endpoint and returns what peers must hear. */
+  /**
+   * Records that a suspect starts to run alone at an endpoint, and returns the notices for peers.
+   */
   List<Effect> onAloneStarted(Fingerprint fingerprint, EndpointId endpoint, Instant now);
 
-  /** Notes that a suspect that ran alone has ended without a crash. */
+  /**
+   * Records that a suspect that ran alone has ended without a crash, and returns the notices for
+   * peers.
+   */
   List<Effect> onAloneSucceeded(Fingerprint fingerprint, EndpointId endpoint, Instant now);
 
   /**
-   * Notes that a suspect has left the endpoint where it ran alone, neither well nor by a crash.
+   * Records that a suspect has left the endpoint where it ran alone, neither with success nor with
+   * a crash, and returns the notices for peers.
    *
-   * <p>It stays a suspect; the endpoint is open again to all. Does nothing if the suspect does not
-   * run alone there.
+   * <p>The request stays a suspect; the endpoint accepts other requests again. Does nothing if the
+   * suspect does not run alone there.
    */
   List<Effect> onAloneEnded(Fingerprint fingerprint, EndpointId endpoint, Instant now);
 
-  /** Takes a crash with the own requests that ran at the endpoint. */
+  /**
+   * Records a crash that this instance observed, with its own requests that ran at the endpoint,
+   * and returns the notices for peers.
+   */
   List<Effect> onCrash(EndpointId endpoint, List<Fingerprint> running, Instant now);
 
-  /** Takes a crash that a peer saw. */
+  /** Records a crash that a peer observed. */
   void onNotice(CrashNotice notice, Instant now);
 
-  /** Takes the end of a suspicion from a peer. */
+  /** Records that a peer has cleared a suspect. */
   void onClear(ClearNotice notice, Instant now);
 
-  /** Takes a quarantine from a peer. */
+  /** Records a quarantine that a peer announced. */
   void onQuarantine(QuarantineNotice notice, Instant now);
 
-  /** Returns notices that are sent again because a message may be lost, and forgets old ones. */
+  /**
+   * Removes expired suspects and quarantines, and returns the notices to send a second time, since
+   * a message may be lost.
+   */
   List<Effect> onTick(Instant now);
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/suspect/Verdict.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/suspect/Verdict.java
@@ -4,30 +4,31 @@
 import io.hawthornlb.core.model.Refusal;
 import java.time.Duration;
 
-/** What may be done with a request. */
+/** How a request may run. */
 public sealed interface Verdict {
 
-  /** It runs like any other. */
+  /** The request runs like any other. */
   record Clear() implements Verdict {}
 
   /**
-   * It runs alone at this endpoint, which takes nothing else meanwhile.
+   * The request runs alone at an endpoint, which accepts no other request meanwhile.
    *
    * @param endpoint the endpoint
    */
   record Alone(EndpointId endpoint) implements Verdict {}
 
   /**
-   * Another suspect runs there; try again after a time.
+   * The request must wait, since no endpoint accepts work, the endpoint selected for it is in
+   * quarantine, or the same request already runs alone.
    *
-   * @param delay how long
+   * @param delay the delay after which to ask again
    */
   record Wait(Duration delay) implements Verdict {}
 
   /**
-   * It gets its final answer now.
+   * The request is refused.
    *
-   * @param refusal the answer
+   * @param refusal the final answer
    */
   record Refused(Refusal refusal) implements Verdict {}
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/suspect/package-info.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/suspect/package-info.java
@@ -1,4 +1,4 @@
-/** Requests that crash the endpoints they reach. */
+/** Detection of requests that crash the endpoints on which they run. */
 @NullMarked
 package io.hawthornlb.core.suspect;
 
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/suspect/support/CountingSuspectTable.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/suspect/support/CountingSuspectTable.java
@@ -30,15 +30,16 @@
 import java.util.Set;
 
 /**
- * Table that counts crashes by fingerprint, its own and those of peers.
+ * Default table, which counts crashes by fingerprint, including the crashes that peers report.
  *
- * <p>A request that ran at an endpoint when it crashed runs alone next, at an endpoint that its
- * fingerprint names, so that all entries send it to the same one. A crash there makes its answer
- * final; a good end clears it.
+ * <p>A request that ran at an endpoint when it crashed runs alone next. Rendezvous hashing selects
+ * the endpoint by the fingerprint, so that all entry instances send the request to the same one. If
+ * that endpoint crashes too, the request is refused from then on. If the request ends without a
+ * crash, it is no longer a suspect.
  */
 public final class CountingSuspectTable implements SuspectTable {
 
-  private static final Duration WAIT = Duration.ofMillis(250);
+  private static final Duration RETRY_DELAY = Duration.ofMillis(250);
 
   private record Quarantine(Fingerprint fingerprint, Instant until) {}
 
@@ -64,33 +65,35 @@
     if (suspect == null || expired(suspect, now)) {
       return new Verdict.Clear();
     }
-    if (suspect.alone() >= settings.crashesAlone()
-        || suspect.crashes() >= settings.crashesInAll()) {
+    if (suspect.alone() >= settings.maxCrashesAlone()
+        || suspect.crashes() >= settings.maxCrashes()) {
       return new Verdict.Refused(
           Refusal.mayHaveRun(
               RefusalReason.CRASHES_ENDPOINTS,
               "endpoints crashed each time this request ran; it is not tried again"));
     }
-    Optional<EndpointId> home = home(fingerprint, endpoints);
-    if (home.isEmpty() || quarantined(home.get(), now) || runsAlone(fingerprint, now)) {
-      return new Verdict.Wait(WAIT);
+    Optional<EndpointId> target = quarantineEndpoint(fingerprint, endpoints);
+    if (target.isEmpty()
+        || quarantined(target.get(), now)
+        || runsAloneSomewhere(fingerprint, now)) {
+      return new Verdict.Wait(RETRY_DELAY);
     }
-    return new Verdict.Alone(home.get());
+    return new Verdict.Alone(target.get());
   }
 
   @Override
   public List<Effect> onAloneStarted(Fingerprint fingerprint, EndpointId endpoint, Instant now) {
-    Instant until = now.plus(settings.aloneAtMost());
+    Instant until = now.plus(settings.maxQuarantine());
     quarantines.put(endpoint, new Quarantine(fingerprint, until));
     ownAlone.put(endpoint, fingerprint);
-    return spread(new QuarantineNotice(fingerprint, endpoint, until), now);
+    return broadcast(new QuarantineNotice(fingerprint, endpoint, until), now);
   }
 
   @Override
   public List<Effect> onAloneSucceeded(Fingerprint fingerprint, EndpointId endpoint, Instant now) {
     suspects.remove(fingerprint);
     List<Effect> effects = new ArrayList<>(endAlone(endpoint, now));
-    effects.addAll(spread(new ClearNotice(fingerprint, now), now));
+    effects.addAll(broadcast(new ClearNotice(fingerprint, now), now));
     return effects;
   }
 
@@ -107,9 +110,10 @@
     if (!running.isEmpty()) {
       CrashNotice notice = new CrashNotice(self, ++sequence, endpoint, now, running, ranAlone);
       onNotice(notice, now);
-      // The caller may send the request again through another entry as soon as it has its answer.
-      // The notice goes out before that answer, and once more in case it is lost.
-      effects.addAll(spread(notice, now));
+      // The caller may resend the request through another entry instance as soon as it has its
+      // answer. Therefore the notice is sent before that answer, and a second time in case it is
+      // lost.
+      effects.addAll(broadcast(notice, now));
     }
     effects.addAll(endAlone(endpoint, now));
     return effects;
@@ -159,11 +163,12 @@
       return List.of();
     }
     quarantines.remove(endpoint);
-    return spread(new QuarantineNotice(fingerprint, endpoint, now), now);
+    return broadcast(new QuarantineNotice(fingerprint, endpoint, now), now);
   }
 
-  private List<Effect> spread(PeerMessage message, Instant now) {
-    // A quarantine that is sent again late would outlive its end; its own limit ends it instead.
+  private List<Effect> broadcast(PeerMessage message, Instant now) {
+    // A quarantine notice that is sent again late would extend the quarantine beyond its end. If
+    // the first notice is lost, the time limit of the quarantine applies.
     if (!(message instanceof QuarantineNotice)) {
       resends.add(new Pending(message, now));
     }
@@ -175,18 +180,20 @@
     return quarantine != null && now.isBefore(quarantine.until());
   }
 
-  private boolean runsAlone(Fingerprint fingerprint, Instant now) {
-    // The endpoint where a suspect runs alone takes no work and may be missing from those given;
-    // the fingerprint would then name another one, and two endpoints would be lost at once.
+  private boolean runsAloneSomewhere(Fingerprint fingerprint, Instant now) {
+    // An endpoint where a suspect runs alone accepts no work and may be missing from the given
+    // endpoints. The fingerprint would then select another endpoint, and two endpoints could crash
+    // at once.
     return quarantines.values().stream()
         .anyMatch(each -> each.fingerprint().equals(fingerprint) && now.isBefore(each.until()));
   }
 
   private boolean expired(SuspectRecord suspect, Instant now) {
-    return now.isAfter(suspect.lastCrash().plus(settings.memory()));
+    return now.isAfter(suspect.lastCrash().plus(settings.retention()));
   }
 
-  private static Optional<EndpointId> home(Fingerprint fingerprint, Set<EndpointId> endpoints) {
+  private static Optional<EndpointId> quarantineEndpoint(
+      Fingerprint fingerprint, Set<EndpointId> endpoints) {
     return endpoints.stream()
         .max(
             Comparator.comparingLong((EndpointId endpoint) -> weight(fingerprint, endpoint))
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/suspect/support/TrustingSuspectTable.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/suspect/support/NoOpSuspectTable.java
@@ -13,11 +13,11 @@
 import java.util.Set;
 
 /**
- * Naive table that suspects no request.
+ * Table that treats no request as a suspect.
  *
- * <p>The reference of differential tests and the baseline of measurements.
+ * <p>Reference implementation of differential tests and baseline of measurements.
  */
-public final class TrustingSuspectTable implements SuspectTable {
+public final class NoOpSuspectTable implements SuspectTable {
 
   @Override
   public Verdict judge(Fingerprint fingerprint, Set<EndpointId> endpoints, Instant now) {
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/suspect/support/SuspectRecord.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/suspect/support/SuspectRecord.java
@@ -6,7 +6,7 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** Crashes of one fingerprint; each is counted once, however often it is told. */
+/** Crashes of one fingerprint. Each crash is counted once, even if it is reported several times. */
 final class SuspectRecord {
 
   private record CrashId(InstanceId reporter, long sequence) {}
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/suspect/support/package-info.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/suspect/support/package-info.java
@@ -1,4 +1,4 @@
-/** Tables of suspect requests. */
+/** Implementations of the table of suspect requests. */
 @NullMarked
 package io.hawthornlb.core.suspect.support;
 
