--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/config/ConfigBinding.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/config/ConfigBinding.java
@@ -3,13 +3,16 @@
 import java.util.function.Supplier;
 
 /**
- * Turns a document into a value in two steps, so that one fault does not hide the next.
+ * Converts a document to a value in two steps, so that all faults are reported together.
  *
  * @param <T> the type of the value
  */
 @FunctionalInterface
 public interface ConfigBinding<T> {
 
-  /** Reads and checks every key; the returned supplier is called only if there was no finding. */
+  /**
+   * Reads and checks every key, and returns a supplier of the value. The supplier is called only if
+   * there are no findings.
+   */
   Supplier<T> bind(ConfigSection root);
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/config/ConfigSection.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/config/ConfigSection.java
@@ -6,55 +6,61 @@
 import java.util.Set;
 
 /**
- * One mapping of a document.
+ * Section of a document: a mapping from keys to values.
  *
- * <p>Each accessor returns empty both for a missing key and for a value that has a fault; the fault
- * is kept as a finding. Keys that nobody asked for are reported once the whole document is read.
+ * <p>Each accessor returns empty both for a missing key and for an invalid value. An invalid value
+ * adds a finding. Keys that no accessor has read are reported as unknown after the whole document
+ * has been read.
  */
 public interface ConfigSection {
 
-  /** Returns the path of this section inside the document; empty for the root. */
+  /** Returns the path of this section in the document; empty for the root. */
   String path();
 
   /** Returns the keys in the order of the document. */
   Set<String> keys();
 
-  /** Returns whether the document holds the key. */
+  /** Returns whether the section contains a key. */
   boolean has(String key);
 
-  /** Reports each of the keys that the document does not hold. */
+  /** Adds a finding for each of the keys that the section does not contain. */
   void require(String... keys);
 
-  /** Reports a fault of the value of a key, at its place. */
+  /** Adds a finding about the value of a key, with its line and path. */
   void reject(String key, String message);
 
-  /** Returns a text. */
+  /** Returns the text of a key. */
   Optional<String> text(String key);
 
-  /** Returns a list of texts; empty if the key is missing. */
+  /** Returns the list of texts of a key; empty if the key is missing. */
   List<String> texts(String key);
 
-  /** Returns {@code true} or {@code false}. */
+  /** Returns the boolean value of a key. */
   Optional<Boolean> flag(String key);
 
-  /** Returns a whole number within bounds, both included. */
-  Optional<Integer> wholeNumber(String key, int least, int most);
+  /** Returns a whole number between two bounds, inclusive. */
+  Optional<Integer> wholeNumber(String key, int min, int max);
 
-  /** Returns a number within bounds, both included. */
-  Optional<Double> number(String key, double least, double most);
+  /** Returns a number between two bounds, inclusive. */
+  Optional<Double> number(String key, double min, double max);
 
-  /** Returns a duration with its unit, such as {@code 1600ms}; see {@link DurationFormat}. */
+  /**
+   * Returns a duration, written with its unit, such as {@code 1600ms}; see {@link DurationFormat}.
+   */
   Optional<Duration> duration(String key);
 
-  /** Returns a number of bytes with its unit, such as {@code 64KiB}; see {@link SizeFormat}. */
+  /**
+   * Returns a number of bytes, written with its unit, such as {@code 64KiB}; see {@link
+   * SizeFormat}.
+   */
   Optional<Integer> size(String key);
 
-  /** Returns a constant by its name in lower case with hyphens. */
+  /** Returns an enum constant, written in lower case with hyphens; see {@link EnumNames}. */
   <E extends Enum<E>> Optional<E> choice(String key, Class<E> type);
 
-  /** Returns the section under a key; an empty section if the key is missing. */
+  /** Returns the section of a key; an empty section if the key is missing. */
   ConfigSection section(String key);
 
-  /** Returns the list of sections under a key; empty if the key is missing. */
+  /** Returns the list of sections of a key; empty if the key is missing. */
   List<ConfigSection> sections(String key);
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/config/DurationFormat.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/config/DurationFormat.java
@@ -6,10 +6,12 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Durations as a whole number directly followed by a unit: ms, s, m, h or d. */
+/**
+ * Text format of durations: a whole number directly followed by a unit, which is ms, s, m, h or d.
+ */
 public final class DurationFormat {
 
-  /** What to tell the writer of a wrong value. */
+  /** Message for a value that is not in this format. */
   public static final String EXPECTED =
       "expected a duration with its unit, such as 1600ms, 5s, 2m, 24h or 7d";
 
@@ -25,7 +27,7 @@
 
   private DurationFormat() {}
 
-  /** Returns the duration, or empty if the text is none. */
+  /** Returns the duration, or empty if the text is not in this format. */
   public static Optional<Duration> parse(String text) {
     Matcher matcher = PATTERN.matcher(text);
     if (!matcher.matches()) {
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/config/SizeFormat.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/config/SizeFormat.java
@@ -5,10 +5,12 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Sizes as a whole number directly followed by a unit: B, KiB, MiB or GiB. */
+/**
+ * Text format of sizes: a whole number directly followed by a unit, which is B, KiB, MiB or GiB.
+ */
 public final class SizeFormat {
 
-  /** What to tell the writer of a wrong value. */
+  /** Message for a value that is not in this format. */
   public static final String EXPECTED =
       "expected a size below 2GiB with its unit, such as 512B, 64KiB or 4MiB";
 
@@ -19,7 +21,10 @@
 
   private SizeFormat() {}
 
-  /** Returns the number of bytes, or empty if the text is no size or too large. */
+  /**
+   * Returns the number of bytes, or empty if the text is not in this format or the size is 2 GiB or
+   * more.
+   */
   public static Optional<Integer> parse(String text) {
     Matcher matcher = PATTERN.matcher(text);
     if (!matcher.matches()) {
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/config/package-info.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/config/package-info.java
@@ -1,4 +1,4 @@
-/** Checked YAML: values are read with their units, and all faults are reported together. */
+/** Reading of configuration files: values have units, and all faults are reported together. */
 @NullMarked
 package io.hawthornlb.core.config;
 
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/config/support/FindingCollector.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/config/support/FindingCollector.java
@@ -5,7 +5,7 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** Keeps the findings about one document. */
+/** Collects the findings about one document. */
 final class FindingCollector {
 
   private final String source;
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/config/support/YamlConfigReader.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/config/support/YamlConfigReader.java
@@ -17,7 +17,10 @@
 import org.yaml.snakeyaml.nodes.Node;
 import org.yaml.snakeyaml.nodes.Tag;
 
-/** Reads YAML documents of one mapping; values stay as written, so that no unit is guessed. */
+/**
+ * Reads YAML documents whose root is a mapping. Values are kept as they are written, so that the
+ * reader never has to guess a unit.
+ */
 public final class YamlConfigReader implements ConfigReader {
 
   private static final int MAX_CODE_POINTS = 32 << 20;
@@ -72,7 +75,7 @@
     }
   }
 
-  /** Returns whether a node stands for no value. */
+  /** Returns whether a node represents a null value. */
   static boolean isNull(Node node) {
     return Tag.NULL.equals(node.getTag());
   }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/config/support/YamlConfigSection.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/config/support/YamlConfigSection.java
@@ -21,7 +21,7 @@
 import org.yaml.snakeyaml.nodes.ScalarNode;
 import org.yaml.snakeyaml.nodes.SequenceNode;
 
-/** A mapping node, with the keys that were asked for. */
+/** Section of a YAML document, which records the keys that were read. */
 final class YamlConfigSection implements ConfigSection {
 
   private final String path;
@@ -118,15 +118,15 @@
   }
 
   @Override
-  public Optional<Integer> wholeNumber(String key, int least, int most) {
-    String expected = "expected a whole number from " + least + " to " + most;
-    return scalar(key, expected, text -> parseInt(text).filter(n -> n >= least && n <= most));
+  public Optional<Integer> wholeNumber(String key, int min, int max) {
+    String expected = "expected a whole number from " + min + " to " + max;
+    return scalar(key, expected, text -> parseInt(text).filter(n -> n >= min && n <= max));
   }
 
   @Override
-  public Optional<Double> number(String key, double least, double most) {
-    String expected = "expected a number from " + least + " to " + most;
-    return scalar(key, expected, text -> parseDouble(text).filter(n -> n >= least && n <= most));
+  public Optional<Double> number(String key, double min, double max) {
+    String expected = "expected a number from " + min + " to " + max;
+    return scalar(key, expected, text -> parseDouble(text).filter(n -> n >= min && n <= max));
   }
 
   @Override
@@ -173,7 +173,7 @@
     return sections;
   }
 
-  /** Reports the keys that nobody asked for, here and in all sections below. */
+  /** Reports the keys that were not read, in this section and in all sections below it. */
   void reportUnknownKeys() {
     for (String key : values.keySet()) {
       if (!knownKeys.contains(key)) {
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/config/support/package-info.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/config/support/package-info.java
@@ -1,4 +1,4 @@
-/** Reads settings from the node graph of a YAML document. */
+/** Reading of configuration files from the node graph of a YAML document. */
 @NullMarked
 package io.hawthornlb.core.config.support;
 
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/retry/FailedAttempt.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/retry/FailedAttempt.java
@@ -8,15 +8,15 @@
 import java.util.Set;
 
 /**
- * An attempt of a request that failed.
+ * Failed attempt of a request.
  *
- * @param id the request
- * @param attempt its number, from 1
- * @param repeatable whether the request may be executed again
- * @param sent whether a byte of it has gone to the endpoint
- * @param failed endpoints where it has failed so far
- * @param deadline by when its answer is due
- * @param refusal the answer if it is not tried again
+ * @param id identifies the request
+ * @param attempt the number of the attempt, counted from 1
+ * @param repeatable whether the request may be executed more than once
+ * @param sent whether a byte of the request was sent to the endpoint
+ * @param failed the endpoints at which the request has failed so far
+ * @param deadline when the caller needs the answer
+ * @param refusal the final answer if the request is not retried
  */
 public record FailedAttempt(
     RequestId id,
@@ -27,9 +27,9 @@
     Instant deadline,
     Refusal refusal) {
 
-  /** Checks the number and copies the endpoints. */
+  /** Checks the number of the attempt and copies the set of endpoints. */
   public FailedAttempt {
-    Checks.isTrue(attempt >= 1, "attempts count from 1");
+    Checks.isTrue(attempt >= 1, "attempt must be at least 1");
     failed = Set.copyOf(failed);
   }
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/retry/Retry.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/retry/Retry.java
@@ -5,14 +5,14 @@
 import java.util.Set;
 
 /**
- * Another attempt.
+ * Retry of a request.
  *
- * @param delay how long to wait before it
- * @param excluded endpoints that it must not go to
+ * @param delay the delay before the attempt
+ * @param excluded the endpoints to which the attempt must not be sent
  */
 public record Retry(Duration delay, Set<EndpointId> excluded) {
 
-  /** Copies the endpoints. */
+  /** Copies the set of endpoints. */
   public Retry {
     excluded = Set.copyOf(excluded);
   }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/retry/RetryPolicy.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/retry/RetryPolicy.java
@@ -4,12 +4,15 @@
 import io.vavr.control.Either;
 import java.time.Instant;
 
-/** Decides on failed attempts; confined to one thread. */
+/**
+ * Determines whether, when and where a failed request is retried. Implementations are confined to
+ * one thread.
+ */
 public interface RetryPolicy {
 
-  /** Counts a first attempt, which earns budget. */
+  /** Records the first attempt of a request, which adds to the retry budget. */
   void onFirstAttempt(Instant now);
 
-  /** Returns the next attempt, or the final answer at once. */
+  /** Returns the retry, or the refusal that ends the request. */
   Either<Refusal, Retry> onFailure(FailedAttempt attempt, Instant now);
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/retry/RetrySettings.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/retry/RetrySettings.java
@@ -3,26 +3,29 @@
 import java.time.Duration;
 
 /**
- * Bounds of retries.
+ * Limits for retries.
  *
- * @param attempts attempts in all
- * @param ratio retries for each first attempt
- * @param leastPerSecond retries a second that are always allowed to one entry
- * @param burst retries that may be saved up
- * @param firstBackoff longest wait before the second attempt; doubles with each
- * @param longestBackoff longest wait before any attempt
- * @param leastService time that an attempt needs at least
+ * @param attempts the maximum number of attempts for a request, including the first
+ * @param ratio the number of retries that each first attempt adds to the budget
+ * @param minPerSecond the number of retries for each second that an entry instance may make
+ *     regardless of its first attempts
+ * @param burst the maximum number of retries in the budget
+ * @param initialBackoff the maximum delay before the second attempt, doubled for each further
+ *     attempt
+ * @param maxBackoff the maximum delay before any attempt
+ * @param minServiceTime the minimum time that an attempt needs; a retry that could not have this
+ *     time before the deadline is not made
  */
 public record RetrySettings(
     int attempts,
     double ratio,
-    double leastPerSecond,
+    double minPerSecond,
     double burst,
-    Duration firstBackoff,
-    Duration longestBackoff,
-    Duration leastService) {
+    Duration initialBackoff,
+    Duration maxBackoff,
+    Duration minServiceTime) {
 
-  /** The values in use unless the settings of an instance say otherwise. */
+  /** The default values. */
   public static final RetrySettings DEFAULT =
       new RetrySettings(
           3, 0.1, 0.2, 10, Duration.ofMillis(50), Duration.ofSeconds(1), Duration.ofMillis(50));
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/retry/package-info.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/retry/package-info.java
@@ -1,4 +1,4 @@
-/** Decides whether, when and where a failed request is tried again. */
+/** Decides whether, when and where a failed request is retried. */
 @NullMarked
 package io.hawthornlb.core.retry;
 
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/retry/support/BudgetedRetryPolicy.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/retry/support/BudgetedRetryPolicy.java
@@ -10,14 +10,17 @@
 import java.time.Instant;
 import java.util.random.RandomGenerator;
 
-/** Policy that retries within a budget, after a jittered back-off, away from where it failed. */
+/**
+ * Policy that retries within a budget, after an exponential back-off with jitter, and not at
+ * endpoints where the request has failed.
+ */
 public final class BudgetedRetryPolicy implements RetryPolicy {
 
   private final RetrySettings settings;
   private final RetryBudget budget;
   private final RandomGenerator random;
 
-  /** Creates a policy. */
+  /** Creates a policy with the given settings and source of jitter. */
   public BudgetedRetryPolicy(RetrySettings settings, RandomGenerator random) {
     this.settings = settings;
     this.budget = new RetryBudget(settings);
@@ -31,17 +34,18 @@
 
   @Override
   public Either<Refusal, Retry> onFailure(FailedAttempt attempt, Instant now) {
-    // A call that may have been executed must not be executed again: a worker would be paid twice.
+    // A call that may have been executed must not be executed again, since its effect, such as the
+    // payment of a worker, would happen twice.
     boolean mayRepeat = attempt.repeatable() || !attempt.sent();
     if (!mayRepeat || attempt.attempt() >= settings.attempts()) {
       return Either.left(attempt.refusal());
     }
     Duration delay = backoff(attempt.attempt());
-    if (now.plus(delay).plus(settings.leastService()).isAfter(attempt.deadline())) {
+    if (now.plus(delay).plus(settings.minServiceTime()).isAfter(attempt.deadline())) {
       return Either.left(attempt.refusal());
     }
-    // When a whole service fails, each request would be sent several times and the endpoints that
-    // still work would fail under the load. The budget bounds the extra load to a fixed part.
+    // If a whole service fails, each request is sent several times, and the endpoints that still
+    // work fail under the load. The budget limits the extra load to a fixed fraction.
     if (!budget.take(now)) {
       return Either.left(attempt.refusal());
     }
@@ -49,8 +53,7 @@
   }
 
   private Duration backoff(int attempt) {
-    long most = settings.firstBackoff().toMillis() << Math.min(attempt - 1, 20);
-    return Duration.ofMillis(
-        random.nextLong(Math.min(most, settings.longestBackoff().toMillis()) + 1));
+    long max = settings.initialBackoff().toMillis() << Math.min(attempt - 1, 20);
+    return Duration.ofMillis(random.nextLong(Math.min(max, settings.maxBackoff().toMillis()) + 1));
   }
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/retry/support/RetryBudget.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/retry/support/RetryBudget.java
@@ -5,16 +5,17 @@
 import java.time.Instant;
 
 /**
- * Budget earned by first attempts.
+ * Retry budget, a token bucket that is refilled by first attempts and over time.
  *
- * <p>Each entry earns from its own requests, so the sum over the fleet is a fixed part of the
- * fleet's requests without any exchange, in a cut too.
+ * <p>Each entry instance earns its budget from its own requests. The retries of the whole fleet
+ * therefore stay within a fixed fraction of the requests of the fleet. This needs no communication
+ * between instances and also holds during a network partition.
  */
 final class RetryBudget {
 
   private final RetrySettings settings;
   private double tokens;
-  private Instant at = Instant.MIN;
+  private Instant updatedAt = Instant.MIN;
 
   RetryBudget(RetrySettings settings) {
     this.settings = settings;
@@ -36,10 +37,10 @@
   }
 
   private void advance(Instant now) {
-    if (at != Instant.MIN) {
-      double seconds = Math.max(0, Duration.between(at, now).toMillis() / 1e3);
-      tokens = Math.min(settings.burst(), tokens + seconds * settings.leastPerSecond());
+    if (updatedAt != Instant.MIN) {
+      double seconds = Math.max(0, Duration.between(updatedAt, now).toMillis() / 1e3);
+      tokens = Math.min(settings.burst(), tokens + seconds * settings.minPerSecond());
     }
-    at = now;
+    updatedAt = now;
   }
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/retry/support/SimpleRetryPolicy.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/retry/support/SimpleRetryPolicy.java
@@ -10,15 +10,15 @@
 import java.util.Set;
 
 /**
- * Naive policy that tries again at once, a fixed number of times, without a budget.
+ * Policy that retries immediately, up to a fixed number of attempts, without a budget.
  *
- * <p>The reference of differential tests and the baseline of measurements.
+ * <p>Reference implementation of differential tests and baseline of measurements.
  */
 public final class SimpleRetryPolicy implements RetryPolicy {
 
   private final int attempts;
 
-  /** Creates a policy with a number of attempts in all. */
+  /** Creates a policy with a maximum number of attempts, including the first. */
   public SimpleRetryPolicy(int attempts) {
     this.attempts = attempts;
   }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/retry/support/package-info.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/retry/support/package-info.java
@@ -1,4 +1,4 @@
-/** Retry policies. */
+/** Implementations of the retry policy. */
 @NullMarked
 package io.hawthornlb.core.retry.support;
 
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/config/support/YamlConfigReaderTest.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/config/support/YamlConfigReaderTest.java
@@ -68,8 +68,8 @@
         reader.read("f.yaml", yaml, BINDING).get());
   }
 
-  // An operator mends the first fault, starts again, and meets the next: each round costs a
-  // restart. All faults of a document must come at once, each with its line and path.
+  // Guards against faults that are reported one at a time, each of which costs the operator a
+  // restart. All faults of a document must be reported together, each with its line and path.
   @Test
   void reportsAllFaultsTogether() {
     String yaml =
@@ -98,7 +98,7 @@
   }
 
   @Test
-  void reportsWrongShapes() {
+  void reportsNodesOfTheWrongType() {
     assertEquals(
         List.of(
             "f.yaml:1: name: expected a text",
@@ -110,7 +110,7 @@
   }
 
   @Test
-  void reportsBrokenYamlWithItsLine() {
+  void reportsInvalidYamlWithItsLine() {
     assertEquals(
         List.of("f.yaml:2: no valid YAML: expected ',' or ']', but got <stream end>"),
         findings("name: a\ntags: [a"));
@@ -118,7 +118,7 @@
   }
 
   @Test
-  void reportsValuesThatTheirTypeRefuses() {
+  void reportsValuesThatTheirConstructorRejects() {
     Validation<List<Finding>, Sample> result =
         reader.read(
             "f.yaml",
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/retry/RetryFailureTest.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/retry/RetryFailureTest.java
@@ -23,41 +23,44 @@
   private static final Refusal FAILED =
       Refusal.mayHaveRun(RefusalReason.ENDPOINT_FAILED, "the endpoint failed");
 
-  // Endpoints that still work fail one after the other: a part of the fleet fails, each request is
-  // sent several times, and the rest gets several times its load.
+  // Guards against the overload of healthy endpoints when a part of the fleet fails: each request
+  // is sent several times, and the remaining endpoints get several times their load.
   @Test
   void retriesStayWithinTheBudgetWhenAllFails() {
-    assertEquals(3_000, attempts(new SimpleRetryPolicy(3), 1_000), "the naive twin");
-    int guarded = attempts(guarded(), 1_000);
-    assertTrue(guarded <= 1_000 * 1.1 + 10 + 20, () -> "attempts " + guarded);
+    assertEquals(
+        3_000,
+        attempts(new SimpleRetryPolicy(3), 1_000),
+        "the baseline must make three attempts for each request");
+    int budgeted = attempts(budgeted(), 1_000);
+    assertTrue(budgeted <= 1_000 * 1.1 + 10 + 20, () -> "attempts " + budgeted);
   }
 
-  // A worker is paid twice: the check-in's connection broke after it was sent, and it is sent
-  // again to another endpoint.
+  // Guards against a second execution when the connection of a non-repeatable call breaks after the
+  // call was sent.
   @Test
-  void aCallThatMayHaveRunIsNotRepeated() {
-    assertTrue(guarded().onFailure(attempt(1, false, true, 30), NOW).isLeft());
-    assertTrue(guarded().onFailure(attempt(1, false, false, 30), NOW).isRight());
+  void aCallThatMayHaveRunIsNotRetried() {
+    assertTrue(budgeted().onFailure(attempt(1, false, true, 30), NOW).isLeft());
+    assertTrue(budgeted().onFailure(attempt(1, false, false, 30), NOW).isRight());
   }
 
   @Test
-  void noAttemptBeginsThatCannotEndByTheDeadline() {
-    Either<Refusal, Retry> answer = guarded().onFailure(attempt(1, true, true, 0), NOW);
+  void noAttemptStartsThatCannotEndByTheDeadline() {
+    Either<Refusal, Retry> answer = budgeted().onFailure(attempt(1, true, true, 0), NOW);
     assertEquals(FAILED, answer.getLeft());
   }
 
-  // A request fails three times at the same endpoint, the only one that is broken.
+  // Guards against retries at the endpoint where the request has already failed.
   @Test
-  void noAttemptGoesWhereItHasFailed() {
+  void retryExcludesTheEndpointsThatFailed() {
     Set<EndpointId> failed = Set.of(new EndpointId("engine-0"));
-    assertEquals(failed, guarded().onFailure(attempt(1, true, true, 30), NOW).get().excluded());
+    assertEquals(failed, budgeted().onFailure(attempt(1, true, true, 30), NOW).get().excluded());
   }
 
-  // All entries try again in the same instant, again and again, and overrun the endpoint that has
-  // just come back.
+  // Guards against synchronized retries of all entry instances that overload an endpoint which has
+  // just recovered.
   @Test
   void attemptsAreSpreadOverTime() {
-    RetryPolicy policy = guarded();
+    RetryPolicy policy = budgeted();
     Set<Duration> delays = new HashSet<>();
     for (int i = 0; i < 10; i++) {
       delays.add(policy.onFailure(attempt(2, true, true, 30), NOW).get().delay());
@@ -81,7 +84,7 @@
     return attempts;
   }
 
-  private static RetryPolicy guarded() {
+  private static RetryPolicy budgeted() {
     return new BudgetedRetryPolicy(RetrySettings.DEFAULT, new Random(1));
   }
 
