--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/batch/BatchPlane.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/batch/BatchPlane.java
@@ -18,9 +18,9 @@
 import io.hawthornlb.core.catalogue.ServiceEntry;
 import io.hawthornlb.core.catalogue.ServiceKind;
 import io.hawthornlb.core.claim.ClaimView;
+import io.hawthornlb.core.effect.BroadcastPeerMessage;
+import io.hawthornlb.core.effect.BroadcastScope;
 import io.hawthornlb.core.effect.SendPeerMessage;
-import io.hawthornlb.core.effect.SpreadPeerMessage;
-import io.hawthornlb.core.effect.SpreadScope;
 import io.hawthornlb.core.endpoint.Endpoint;
 import io.hawthornlb.core.endpoint.LoadReport;
 import io.hawthornlb.core.job.ItemKey;
@@ -147,7 +147,7 @@
             (partition, backlog) -> {
               BacklogNotice notice = new BacklogNotice(self, partition, backlog);
               board.note(notice, clock.instant());
-              effects.perform(List.of(new SpreadPeerMessage(notice, SpreadScope.FLEET)));
+              effects.perform(List.of(new BroadcastPeerMessage(notice, BroadcastScope.FLEET)));
             });
   }
 
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/EndpointWatch.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/EndpointWatch.java
@@ -5,7 +5,7 @@
 import io.hawthornlb.core.batch.OnlineNotice;
 import io.hawthornlb.core.batch.StewardElection;
 import io.hawthornlb.core.batch.support.RendezvousElection;
-import io.hawthornlb.core.effect.SpreadScope;
+import io.hawthornlb.core.effect.BroadcastScope;
 import io.hawthornlb.core.endpoint.Endpoint;
 import io.hawthornlb.core.endpoint.LoadReport;
 import io.hawthornlb.core.endpoint.Observation;
@@ -110,14 +110,14 @@
     LoadReport completed = batch.completed(endpoint, report);
     policies.endpoints().onLoad(endpoint, completed, clock.instant());
     if (worthTelling(endpoint, completed)) {
-      peers.spread(new LoadNotice(endpoint, completed), SpreadScope.FLEET);
+      peers.spread(new LoadNotice(endpoint, completed), BroadcastScope.FLEET);
     }
   }
 
   @Override
   public void cached(EndpointId endpoint, List<PrefixEvent> events) {
     policies.prefixes().onEvents(endpoint, events, clock.instant());
-    peers.spread(new CacheNotice(endpoint, events), SpreadScope.FLEET);
+    peers.spread(new CacheNotice(endpoint, events), BroadcastScope.FLEET);
   }
 
   @Override
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/OutwardEffects.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/OutwardEffects.java
@@ -1,9 +1,9 @@
 package io.hawthornlb.app.entry;
 
 import io.hawthornlb.core.effect.AppendRecord;
+import io.hawthornlb.core.effect.BroadcastPeerMessage;
 import io.hawthornlb.core.effect.Effect;
 import io.hawthornlb.core.effect.SendPeerMessage;
-import io.hawthornlb.core.effect.SpreadPeerMessage;
 import java.util.List;
 
 /** Carries out the effects that go to the log and to peers. */
@@ -40,7 +40,7 @@
               });
     } else if (effect instanceof SendPeerMessage send) {
       loop.execute(() -> peers.send(send.target(), send.message()));
-    } else if (effect instanceof SpreadPeerMessage spread) {
+    } else if (effect instanceof BroadcastPeerMessage spread) {
       peers.spread(spread.message(), spread.scope());
     } else {
       throw new IllegalArgumentException("no adapter carries out " + effect + "; add one");
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/PeerMesh.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/PeerMesh.java
@@ -5,7 +5,7 @@
 import io.hawthornlb.app.settings.PeerSettings;
 import io.hawthornlb.app.settings.TlsSettings;
 import io.hawthornlb.core.claim.RendezvousHash;
-import io.hawthornlb.core.effect.SpreadScope;
+import io.hawthornlb.core.effect.BroadcastScope;
 import io.hawthornlb.core.membership.ListedProcess;
 import io.hawthornlb.core.model.DataCentre;
 import io.hawthornlb.core.model.InstanceId;
@@ -114,9 +114,9 @@
    * <p>Of each other data centre one reachable entry receives it and passes it on there, so that
    * the links between data centres carry it once.
    */
-  public void spread(PeerMessage message, SpreadScope scope) {
+  public void spread(PeerMessage message, BroadcastScope scope) {
     spreadHere(message);
-    if (scope == SpreadScope.FLEET) {
+    if (scope == BroadcastScope.FLEET) {
       RelayedMessage relayed = new RelayedMessage(codec.encode(message));
       for (DataCentre other : fleet.dataCentres()) {
         if (!other.equals(fleet.dataCentre())) {
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/PolicyExchange.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/PolicyExchange.java
@@ -3,7 +3,7 @@
 import static io.hawthornlb.app.entry.MessageHandlers.heard;
 
 import io.hawthornlb.core.admission.DemandDigest;
-import io.hawthornlb.core.effect.SpreadScope;
+import io.hawthornlb.core.effect.BroadcastScope;
 import io.hawthornlb.core.endpoint.EndpointNotice;
 import io.hawthornlb.core.routing.InFlightDigest;
 import io.hawthornlb.core.suspect.ClearNotice;
@@ -70,12 +70,12 @@
     policies
         .inFlight()
         .digest(clock.instant())
-        .ifPresent(digest -> peers.spread(digest, SpreadScope.DATA_CENTRE));
+        .ifPresent(digest -> peers.spread(digest, BroadcastScope.DATA_CENTRE));
   }
 
   /** Sends the demand of this entry; once a second. */
   void sendDemand() {
-    peers.spread(policies.shares().digest(clock.instant()), SpreadScope.FLEET);
+    peers.spread(policies.shares().digest(clock.instant()), BroadcastScope.FLEET);
   }
 
   private void quarantine(QuarantineNotice notice) {
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/QuarantiningEffects.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/QuarantiningEffects.java
@@ -1,7 +1,7 @@
 package io.hawthornlb.app.entry;
 
+import io.hawthornlb.core.effect.BroadcastPeerMessage;
 import io.hawthornlb.core.effect.Effect;
-import io.hawthornlb.core.effect.SpreadPeerMessage;
 import io.hawthornlb.core.endpoint.EndpointTable;
 import io.hawthornlb.core.suspect.QuarantineNotice;
 import java.util.List;
@@ -26,7 +26,7 @@
   @Override
   public void perform(List<Effect> effects) {
     for (Effect effect : effects) {
-      if (effect instanceof SpreadPeerMessage spread
+      if (effect instanceof BroadcastPeerMessage spread
           && spread.message() instanceof QuarantineNotice notice) {
         endpoints.quarantine(notice.endpoint(), notice.until());
       }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/effect/SpreadPeerMessage.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/effect/BroadcastPeerMessage.java
@@ -8,4 +8,4 @@
  * @param message the message
  * @param scope how far it goes
  */
-public record SpreadPeerMessage(PeerMessage message, SpreadScope scope) implements Effect {}
+public record BroadcastPeerMessage(PeerMessage message, BroadcastScope scope) implements Effect {}
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/endpoint/support/ObservedEndpointTable.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/endpoint/support/ObservedEndpointTable.java
@@ -1,8 +1,8 @@
 package io.hawthornlb.core.endpoint.support;
 
+import io.hawthornlb.core.effect.BroadcastPeerMessage;
+import io.hawthornlb.core.effect.BroadcastScope;
 import io.hawthornlb.core.effect.Effect;
-import io.hawthornlb.core.effect.SpreadPeerMessage;
-import io.hawthornlb.core.effect.SpreadScope;
 import io.hawthornlb.core.endpoint.Endpoint;
 import io.hawthornlb.core.endpoint.EndpointNotice;
 import io.hawthornlb.core.endpoint.EndpointState;
@@ -85,7 +85,7 @@
     // of each change to the worse; changes to the better each entry finds by its own probe.
     if (changed && observation != Observation.HEALTHY && observation != Observation.SUCCESS) {
       EndpointNotice notice = new EndpointNotice(id, observation, now);
-      return List.of(new SpreadPeerMessage(notice, SpreadScope.FLEET));
+      return List.of(new BroadcastPeerMessage(notice, BroadcastScope.FLEET));
     }
     return List.of();
   }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/suspect/support/CountingSuspectTable.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/suspect/support/CountingSuspectTable.java
@@ -1,9 +1,9 @@
 package io.hawthornlb.core.suspect.support;
 
 import com.dynatrace.hash4j.hashing.Hashing;
+import io.hawthornlb.core.effect.BroadcastPeerMessage;
+import io.hawthornlb.core.effect.BroadcastScope;
 import io.hawthornlb.core.effect.Effect;
-import io.hawthornlb.core.effect.SpreadPeerMessage;
-import io.hawthornlb.core.effect.SpreadScope;
 import io.hawthornlb.core.model.EndpointId;
 import io.hawthornlb.core.model.InstanceId;
 import io.hawthornlb.core.model.Refusal;
@@ -152,7 +152,7 @@
     quarantines.values().removeIf(quarantine -> !now.isBefore(quarantine.until()));
     List<Effect> effects = new ArrayList<>();
     while (!resends.isEmpty() && !now.isBefore(resends.peek().at().plus(settings.resendAfter()))) {
-      effects.add(new SpreadPeerMessage(resends.poll().message(), SpreadScope.FLEET));
+      effects.add(new BroadcastPeerMessage(resends.poll().message(), BroadcastScope.FLEET));
     }
     return effects;
   }
@@ -172,7 +172,7 @@
     if (!(message instanceof QuarantineNotice)) {
       resends.add(new Pending(message, now));
     }
-    return List.of(new SpreadPeerMessage(message, SpreadScope.FLEET));
+    return List.of(new BroadcastPeerMessage(message, BroadcastScope.FLEET));
   }
 
   private boolean quarantined(EndpointId endpoint, Instant now) {
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/endpoint/EndpointTableFailureTest.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/endpoint/EndpointTableFailureTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import io.hawthornlb.core.effect.BroadcastPeerMessage;
 import io.hawthornlb.core.effect.Effect;
-import io.hawthornlb.core.effect.SpreadPeerMessage;
 import io.hawthornlb.core.endpoint.support.ListedEndpointTable;
 import io.hawthornlb.core.endpoint.support.ObservedEndpointTable;
 import io.hawthornlb.core.membership.ListedKind;
@@ -53,7 +53,7 @@
     guarded.onList(list(ListedState.LIVE), at(0), at(0));
     peer.onList(list(ListedState.LIVE), at(0), at(0));
     List<Effect> effects = guarded.onObservation(FIRST, Observation.LEAVING, at(1));
-    SpreadPeerMessage spread = (SpreadPeerMessage) effects.get(0);
+    BroadcastPeerMessage spread = (BroadcastPeerMessage) effects.get(0);
     peer.onNotice((EndpointNotice) spread.message(), at(1));
     assertFalse(peer.find(FIRST).orElseThrow().accepts(at(1)));
     assertEquals(List.of(), guarded.onObservation(FIRST, Observation.LEAVING, at(2)));
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/harness/Steward.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/harness/FakeDispatcher.java
@@ -25,7 +25,7 @@
 import java.util.function.IntPredicate;
 
 /** Pulls items and runs each for a while. */
-public final class Steward {
+public final class FakeDispatcher {
 
   private static final ServiceName SERVICE = new ServiceName("log-reader");
   private static final EndpointId ENDPOINT = new EndpointId("engine-1");
@@ -37,11 +37,11 @@
   private final Map<ItemKey, Report> reports = new LinkedHashMap<>();
   private int width;
   private Duration duration = Duration.ofMillis(30);
-  private IntPredicate impossible = index -> false;
+  private IntPredicate alwaysFailing = index -> false;
   private Instant namedAt = Instant.EPOCH;
   private Instant pulledAt = Instant.EPOCH;
 
-  Steward(Node node, Cluster cluster) {
+  FakeDispatcher(Node node, Cluster cluster) {
     this.node = node;
     this.cluster = cluster;
   }
@@ -56,8 +56,8 @@
   }
 
   /** Sets which items always fail. */
-  public void impossible(IntPredicate items) {
-    impossible = items;
+  public void alwaysFailing(IntPredicate items) {
+    alwaysFailing = items;
   }
 
   public Map<ItemKey, Integer> executions() {
@@ -100,7 +100,7 @@
       return;
     }
     String name = "item-" + key.index();
-    if (impossible.test(key.index())) {
+    if (alwaysFailing.test(key.index())) {
       report(key, new ItemFailed(node.id(), key, name, FailureKind.TRANSIENT, "broken item"));
     } else {
       report(key, new ItemFinished(node.id(), key, name, "result " + key.index()));
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/harness/Node.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/harness/Node.java
@@ -76,7 +76,7 @@
   private final Map<RecordId, AppendRecord> unacknowledged = new LinkedHashMap<>();
   private final Map<RecordId, Instant> sentAt = new LinkedHashMap<>();
   private final List<Runnable> inbox = new ArrayList<>();
-  private final Steward steward;
+  private final FakeDispatcher dispatcher;
   private Consumer<AnswerCaller> answers = answer -> {};
   private Consumer<JobAnswer> jobAnswers = answer -> {};
   private Optional<Claim> knownClaim = Optional.empty();
@@ -101,7 +101,7 @@
         new DefaultJobCoordinator(
             Cluster.PARTITION, fold, jobFold, held, ids, parts.order(), parts.jobs());
     this.forwarder = new DefaultRunOnceForwarder(id, this, 10_000);
-    this.steward = new Steward(this, cluster);
+    this.dispatcher = new FakeDispatcher(this, cluster);
   }
 
   public InstanceId id() {
@@ -116,8 +116,8 @@
     return runOnceFold;
   }
 
-  public Steward steward() {
-    return steward;
+  public FakeDispatcher dispatcher() {
+    return dispatcher;
   }
 
   public ReplicaTable table() {
@@ -219,11 +219,11 @@
     } else if (message instanceof JobAnswer answer) {
       jobAnswers.accept(answer);
     } else if (message instanceof ItemsDispatched dispatched) {
-      steward.run(dispatched);
+      dispatcher.run(dispatched);
     } else if (message instanceof ItemsCancelled cancelled) {
-      steward.cancel(cancelled);
+      dispatcher.cancel(cancelled);
     } else if (message instanceof ItemsSettled settled) {
-      steward.settled(settled);
+      dispatcher.settled(settled);
     } else if (message instanceof RunOnceEvent event) {
       runOnce(event);
     } else if (message instanceof JobEvent event) {
@@ -279,7 +279,7 @@
       runOnce(new RunOnceTick());
       job(new JobTick());
       perform(forwarder.tick(cluster.now()));
-      steward.tick();
+      dispatcher.tick();
       sendAppends();
     }
     cluster.schedule(cluster.delays().tick(), this::tick);
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/job/JobFailureTest.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/job/JobFailureTest.java
@@ -165,7 +165,7 @@
 
     assertEquals(executed, scenario.allExecutions());
     assertEquals(JobPhase.CANCELLED, scenario.status(job).phase());
-    assertEquals(0, IntStream.range(1, 4).map(i -> scenario.node(i).steward().running()).sum());
+    assertEquals(0, IntStream.range(1, 4).map(i -> scenario.node(i).dispatcher().running()).sum());
   }
 
   // The holder dies between the question and the record: the caller has no answer, asks again, and
@@ -196,7 +196,7 @@
   void impossibleItemsEndAsFailedAndHoldNobodyUp() {
     scenario.hold(0);
     IntStream.range(0, 4)
-        .forEach(i -> scenario.node(i).steward().impossible(index -> index % 50 == 7));
+        .forEach(i -> scenario.node(i).dispatcher().alwaysFailing(index -> index % 50 == 7));
     JobId job = scenario.accepted("reports", 200);
     scenario.stewards(8);
 
@@ -217,7 +217,7 @@
   @Test
   void attemptsAreCountedThroughTakeOvers() {
     scenario.hold(0);
-    IntStream.range(0, 4).forEach(i -> scenario.node(i).steward().impossible(index -> true));
+    IntStream.range(0, 4).forEach(i -> scenario.node(i).dispatcher().alwaysFailing(index -> true));
     JobId job = scenario.accepted("reports", 1);
     scenario.stewards(1);
     for (int holder = 1; holder < 4; holder++) {
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/job/JobScenario.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/job/JobScenario.java
@@ -82,7 +82,7 @@
   }
 
   void stewards(int width) {
-    nodes.forEach(node -> node.steward().width(node == nodes.get(0) ? 0 : width));
+    nodes.forEach(node -> node.dispatcher().width(node == nodes.get(0) ? 0 : width));
   }
 
   void killAtMostOne(int index) {
@@ -179,12 +179,14 @@
   }
 
   int executions(ItemKey item) {
-    return nodes.stream().mapToInt(node -> node.steward().executions().getOrDefault(item, 0)).sum();
+    return nodes.stream()
+        .mapToInt(node -> node.dispatcher().executions().getOrDefault(item, 0))
+        .sum();
   }
 
   int allExecutions() {
     return nodes.stream()
-        .flatMap(node -> node.steward().executions().values().stream())
+        .flatMap(node -> node.dispatcher().executions().values().stream())
         .mapToInt(Integer::intValue)
         .sum();
   }
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/policy/OnlineLoad.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/policy/OnlineLoad.java
@@ -2,8 +2,8 @@
 
 import io.hawthornlb.core.admission.AdmissionDecision;
 import io.hawthornlb.core.admission.AdmissionRequest;
+import io.hawthornlb.core.effect.BroadcastPeerMessage;
 import io.hawthornlb.core.effect.Effect;
-import io.hawthornlb.core.effect.SpreadPeerMessage;
 import io.hawthornlb.core.endpoint.EndpointNotice;
 import io.hawthornlb.core.endpoint.Observation;
 import io.hawthornlb.core.model.EndpointId;
@@ -240,7 +240,7 @@
 
     private void note(List<Effect> effects) {
       for (Effect effect : effects) {
-        if (effect instanceof SpreadPeerMessage spread
+        if (effect instanceof BroadcastPeerMessage spread
             && spread.message() instanceof EndpointNotice notice) {
           run.toPeers(entry, peer -> peer.table.onNotice(notice, run.events.now()));
         }
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/suspect/SuspectFailureTest.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/suspect/SuspectFailureTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import io.hawthornlb.core.effect.BroadcastPeerMessage;
 import io.hawthornlb.core.effect.Effect;
-import io.hawthornlb.core.effect.SpreadPeerMessage;
 import io.hawthornlb.core.model.EndpointId;
 import io.hawthornlb.core.model.InstanceId;
 import io.hawthornlb.core.model.RefusalReason;
@@ -135,7 +135,7 @@
 
   private static void deliver(List<Effect> effects, List<? extends SuspectTable> tables) {
     for (Effect effect : effects) {
-      PeerMessage message = ((SpreadPeerMessage) effect).message();
+      PeerMessage message = ((BroadcastPeerMessage) effect).message();
       for (SuspectTable table : tables) {
         if (message instanceof CrashNotice notice) {
           table.onNotice(notice, NOW);
