--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/effect/BroadcastPeerMessage.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/effect/BroadcastPeerMessage.java
@@ -3,9 +3,9 @@
 import io.hawthornlb.core.peer.PeerMessage;
 
 /**
- * Asks for a message to be sent once to every other entry instance.
+ * Effect that sends a message once to every other entry instance in a scope.
  *
  * @param message the message
- * @param scope how far it goes
+ * @param scope which instances receive the message
  */
 public record BroadcastPeerMessage(PeerMessage message, BroadcastScope scope) implements Effect {}
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/effect/BroadcastScope.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/effect/BroadcastScope.java
@@ -1,9 +1,12 @@
 package io.hawthornlb.core.effect;
 
-/** How far a message to peers is spread. */
+/** Which instances receive a broadcast message. */
 public enum BroadcastScope {
-  /** To the entries of the own data centre. */
+  /** All entry instances of the own data centre. */
   DATA_CENTRE,
-  /** To all entries: one of each other data centre receives it and passes it on there. */
+  /**
+   * All entry instances. In each other data centre, one instance receives the message and forwards
+   * it there.
+   */
   FLEET
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/effect/Effect.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/effect/Effect.java
@@ -1,9 +1,9 @@
 package io.hawthornlb.core.effect;
 
 /**
- * Marks an immutable request of the decision core to its adapters.
+ * Marker for immutable instructions of the decision core to its adapters.
  *
- * <p>Deciders take typed events together with the current time and return effects; they hold no
- * thread, socket or clock of their own.
+ * <p>The deciding classes of the core receive typed events together with the current time and
+ * return effects. They own no threads, sockets or clocks.
  */
 public interface Effect {}
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/effect/SendPeerMessage.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/effect/SendPeerMessage.java
@@ -4,7 +4,7 @@
 import io.hawthornlb.core.peer.PeerMessage;
 
 /**
- * Asks for a message to be sent once to a peer; it may be lost.
+ * Effect that sends a message once to a peer. The message may be lost.
  *
  * @param target the peer
  * @param message the message
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/effect/package-info.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/effect/package-info.java
@@ -1,4 +1,4 @@
-/** What the decision core asks its adapters to do. */
+/** Instructions of the decision core to its adapters. */
 @NullMarked
 package io.hawthornlb.core.effect;
 
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/membership/ListedKind.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/membership/ListedKind.java
@@ -1,9 +1,9 @@
 package io.hawthornlb.core.membership;
 
-/** What a listed process is. */
+/** Kind of a process in the instance list. */
 public enum ListedKind {
   /** An entry instance. */
   ENTRY,
-  /** An endpoint that serves requests. */
+  /** An endpoint, which serves requests. */
   ENDPOINT
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/membership/ListedProcess.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/membership/ListedProcess.java
@@ -6,14 +6,14 @@
 import java.util.Optional;
 
 /**
- * One element of the platform's list, which lags behind the truth.
+ * Element of the instance list of the platform, which lags behind the actual state.
  *
  * @param id the instance id or endpoint id
- * @param kind what the process is
- * @param service the service of an endpoint; empty for entries
- * @param dataCentre where it runs
- * @param address host and port; of an entry its peer address
- * @param state live or leaving
+ * @param kind the kind of the process
+ * @param service the service of an endpoint; empty for an entry instance
+ * @param dataCentre the data centre in which the process runs
+ * @param address host and port; for an entry instance, its address for peers
+ * @param state whether the process is in service
  */
 public record ListedProcess(
     String id,
@@ -23,7 +23,7 @@
     String address,
     ListedState state) {
 
-  /** Checks id and address. */
+  /** Checks that id and address are not blank. */
   public ListedProcess {
     Checks.hasText(id, "id");
     Checks.hasText(address, "address");
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/membership/ListedState.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/membership/ListedState.java
@@ -1,9 +1,9 @@
 package io.hawthornlb.core.membership;
 
-/** State of a process in the list of the platform. */
+/** State of a process in the instance list of the platform. */
 public enum ListedState {
-  /** In service. */
+  /** The process is in service. */
   LIVE,
-  /** Finishes what it has and takes nothing new. */
+  /** The process finishes its requests and accepts no new ones. */
   LEAVING
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/membership/package-info.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/membership/package-info.java
@@ -1,4 +1,4 @@
-/** Instances and endpoints: the lagging list, observation, and what follows from both. */
+/** Processes in the instance list of the platform, which lags behind the actual state. */
 @NullMarked
 package io.hawthornlb.core.membership;
 
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/model/DataCentre.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/model/DataCentre.java
@@ -2,7 +2,7 @@
 
 import io.hawthornlb.core.util.Checks;
 
-/** Names one data centre. */
+/** Identifies a data centre. */
 public record DataCentre(String value) implements Comparable<DataCentre> {
 
   /** Checks that the name is not blank. */
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/model/EndpointId.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/model/EndpointId.java
@@ -2,10 +2,10 @@
 
 import io.hawthornlb.core.util.Checks;
 
-/** Names one endpoint (a model engine or a plain service process). */
+/** Identifies an endpoint: a model engine or a process of a plain service. */
 public record EndpointId(String value) implements Comparable<EndpointId> {
 
-  /** Checks that the name is not blank. */
+  /** Checks that the id is not blank. */
   public EndpointId {
     Checks.hasText(value, "endpoint id");
   }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/model/Epoch.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/model/Epoch.java
@@ -3,16 +3,16 @@
 import io.hawthornlb.core.util.Checks;
 
 /**
- * The fencing number of a claim: the offset of the claim record that made it.
+ * Fencing token of a claim: the offset of the claim record that made the claim.
  *
- * <p>{@link #NONE} stands before the first claim.
+ * <p>{@link #NONE} is lower than the epoch of every claim.
  */
 public record Epoch(long value) implements Comparable<Epoch> {
 
-  /** The epoch of a partition that nobody has claimed yet. */
+  /** The epoch of a partition that no instance has claimed yet. */
   public static final Epoch NONE = new Epoch(-1);
 
-  /** Checks that the number is an offset or {@code -1}. */
+  /** Checks that the value is an offset or {@code -1}. */
   public Epoch {
     Checks.isTrue(value >= -1, "epoch must be an offset or -1, was " + value);
   }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/model/InstanceId.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/model/InstanceId.java
@@ -4,31 +4,35 @@
 import java.time.Instant;
 
 /**
- * Names one entry instance; unique for the life of one process start.
+ * Identifies one start of an entry instance; a restarted instance has another id.
  *
- * <p>The part before {@link #START_SEPARATOR} is the name that the settings give. It stays through
- * restarts, so that a restarted instance is placed as before, while its records, claims and
- * messages are told from those of the process before it.
+ * <p>The part before {@link #START_SEPARATOR} is the stable name from the settings, which stays the
+ * same after a restart. Placement uses the stable name, so a restarted instance is placed as
+ * before. The whole id distinguishes its records, claims and messages from those of the previous
+ * process.
  */
 public record InstanceId(String value) implements Comparable<InstanceId> {
 
-  /** Stands between the name of the settings and the mark of the start. */
+  /** Separates the stable name from the start time. */
   public static final char START_SEPARATOR = '~';
 
   private static final int RADIX = 36;
 
-  /** Checks that the name is not blank. */
+  /** Checks that the id is not blank. */
   public InstanceId {
     Checks.hasText(value, "instance id");
   }
 
-  /** Returns the id of a process that was started at a time under a name of the settings. */
+  /**
+   * Returns the id of a process that was started at the given time with the given name from the
+   * settings.
+   */
   public static InstanceId startedAt(InstanceId name, Instant start) {
     return new InstanceId(
         name.stableName() + START_SEPARATOR + Long.toString(start.toEpochMilli(), RADIX));
   }
 
-  /** Returns the name that stays through restarts. */
+  /** Returns the name that stays the same after a restart. */
   public String stableName() {
     int separator = value.indexOf(START_SEPARATOR);
     return separator < 0 ? value : value.substring(0, separator);
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/model/JobId.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/model/JobId.java
@@ -2,10 +2,10 @@
 
 import io.hawthornlb.core.util.Checks;
 
-/** Names one batch job. */
+/** Identifies a batch job. */
 public record JobId(String value) implements Comparable<JobId> {
 
-  /** Checks that the name is not blank. */
+  /** Checks that the id is not blank. */
   public JobId {
     Checks.hasText(value, "job id");
   }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/model/PartitionId.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/model/PartitionId.java
@@ -2,7 +2,9 @@
 
 import io.hawthornlb.core.util.Checks;
 
-/** Names one of the fixed number of partitions that jobs and idempotency keys are hashed to. */
+/**
+ * Identifies one of the fixed number of partitions to which jobs and idempotency keys are hashed.
+ */
 public record PartitionId(int value) implements Comparable<PartitionId> {
 
   /** Checks that the number is not negative. */
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/model/Refusal.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/model/Refusal.java
@@ -5,13 +5,13 @@
 import java.util.Optional;
 
 /**
- * The final answer to a request that was not served.
+ * Final answer to a request that was not served.
  *
- * @param reason why it was refused
- * @param run whether an endpoint may have executed it
- * @param retryAfter when to come back, if coming back can help
+ * @param reason why the request was refused
+ * @param run whether an endpoint may have executed the request
+ * @param retryAfter the delay after which the caller may retry, or empty if a retry cannot help
  * @param detail one sentence for the caller
- * @param findings faults of the input with their places; empty for other reasons
+ * @param findings the faults of the input with their positions; empty for other reasons
  */
 public record Refusal(
     RefusalReason reason,
@@ -20,12 +20,12 @@
     String detail,
     List<Finding> findings) {
 
-  /** Copies the findings. */
+  /** Copies the list of findings. */
   public Refusal {
     findings = List.copyOf(findings);
   }
 
-  /** Returns a refusal of a request that no endpoint has seen. */
+  /** Returns a refusal of a request that no endpoint has received. */
   public static Refusal notRun(RefusalReason reason, String detail) {
     return new Refusal(reason, RunStatus.NOT_RUN, Optional.empty(), detail, List.of());
   }
@@ -35,7 +35,7 @@
     return new Refusal(reason, RunStatus.MAY_HAVE_RUN, Optional.empty(), detail, List.of());
   }
 
-  /** Returns this refusal with the time after which the caller may come back. */
+  /** Returns this refusal with a delay after which the caller may retry. */
   public Refusal retryAfter(Duration delay) {
     return new Refusal(reason, run, Optional.of(delay), detail, findings);
   }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/model/RefusalReason.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/model/RefusalReason.java
@@ -1,32 +1,32 @@
 package io.hawthornlb.core.model;
 
-/** Why a request was refused; the wire name ends the problem type. */
+/** Reason for which a request is refused. The wire name is the last part of the problem type. */
 public enum RefusalReason {
-  /** The request is malformed; the findings say where. */
+  /** The request is malformed; the findings list its faults. */
   INVALID_REQUEST("invalid-request", 400),
-  /** The caller gave no key, or one that the catalogue does not hold. */
+  /** The caller sent no key, or a key that is not in the catalogue. */
   UNAUTHORIZED("unauthorized", 401),
   /** The service, job or path does not exist for this workspace. */
   NOT_FOUND("not-found", 404),
-  /** The same idempotency key came with other content. */
+  /** The idempotency key was used before with other content. */
   KEY_CONFLICT("key-conflict", 409),
-  /** The body is larger than the limit. */
+  /** The body exceeds the size limit. */
   TOO_LARGE("too-large", 413),
-  /** The workspace or class is over its limit. */
+  /** The workspace or the request class exceeds its limit. */
   LIMIT_EXCEEDED("limit-exceeded", 429),
   /** The deadline cannot be met, so the request is not started. */
   DEADLINE_UNREACHABLE("deadline-unreachable", 503),
-  /** No endpoint of the service can take the request now. */
+  /** No endpoint of the service can accept the request at present. */
   NO_ENDPOINT("no-endpoint", 503),
-  /** A request that must not run twice cannot be made durable now. */
+  /** The request must not run twice, and its intent cannot be made durable at present. */
   NOT_DURABLE("not-durable", 503),
-  /** The request has crashed endpoints and is not tried again. */
+  /** The request has crashed endpoints and is not retried. */
   CRASHES_ENDPOINTS("crashes-endpoints", 422),
   /** The endpoint failed after it had received the request. */
   ENDPOINT_FAILED("endpoint-failed", 502),
   /** The deadline passed while an endpoint had the request. */
   TIMEOUT("timeout", 504),
-  /** The instance stops and takes no new work. */
+  /** The instance is stopping and accepts no new work. */
   STOPPING("stopping", 503);
 
   private final String wireName;
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/model/RequestClass.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/model/RequestClass.java
@@ -1,11 +1,11 @@
 package io.hawthornlb.core.model;
 
-/** The class of a request, which orders the work before the endpoints. */
+/** Class of a request, which determines its order in the queue for endpoints. */
 public enum RequestClass {
-  /** A person waits for the first token or the answer. */
+  /** A person waits for the first token or for the answer. */
   INTERACTIVE,
-  /** Online work that arrives many at once, due within minutes. */
+  /** Online work that arrives in large numbers at once and is due within minutes. */
   BULK,
-  /** Items of batch jobs, which run on capacity that nobody else needs. */
+  /** Items of batch jobs, which run on capacity that no other work needs. */
   BATCH
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/model/RequestId.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/model/RequestId.java
@@ -2,10 +2,10 @@
 
 import io.hawthornlb.core.util.Checks;
 
-/** Names one request of a caller across instances and endpoints. */
+/** Identifies one request of a caller across instances and endpoints. */
 public record RequestId(String value) implements Comparable<RequestId> {
 
-  /** Checks that the name is not blank. */
+  /** Checks that the id is not blank. */
   public RequestId {
     Checks.hasText(value, "request id");
   }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/model/RunStatus.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/model/RunStatus.java
@@ -1,8 +1,8 @@
 package io.hawthornlb.core.model;
 
-/** What a refusal says about the execution of the refused request. */
+/** What a refusal states about the execution of the refused request. */
 public enum RunStatus {
-  /** No endpoint has seen the request, and none will. */
+  /** No endpoint has received the request, and none will. */
   NOT_RUN("not-run"),
   /** An endpoint may have executed the request, fully or in part. */
   MAY_HAVE_RUN("may-have-run");
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/model/ServiceName.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/model/ServiceName.java
@@ -2,7 +2,7 @@
 
 import io.hawthornlb.core.util.Checks;
 
-/** Names one service of the catalogue; callers give it as the model name or in the path. */
+/** Identifies a service of the catalogue. Callers send it as the model name or in the path. */
 public record ServiceName(String value) implements Comparable<ServiceName> {
 
   /** Checks that the name is not blank. */
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/model/WorkspaceId.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/model/WorkspaceId.java
@@ -2,10 +2,10 @@
 
 import io.hawthornlb.core.util.Checks;
 
-/** Names one workspace, the unit of limits and fairness. */
+/** Identifies a workspace, the unit to which limits and fairness apply. */
 public record WorkspaceId(String value) implements Comparable<WorkspaceId> {
 
-  /** Checks that the name is not blank. */
+  /** Checks that the id is not blank. */
   public WorkspaceId {
     Checks.hasText(value, "workspace id");
   }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/model/package-info.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/model/package-info.java
@@ -1,4 +1,4 @@
-/** Identifiers and values that every other package shares. */
+/** Identifiers and values that all other packages share. */
 @NullMarked
 package io.hawthornlb.core.model;
 
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/peer/PeerHandler.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/peer/PeerHandler.java
@@ -10,6 +10,9 @@
  */
 public interface PeerHandler<M extends PeerMessage> {
 
-  /** Returns the answer, or a stage of {@code null} for a message that has none. */
+  /**
+   * Handles a message. Returns a stage with the reply, or with {@code null} for a message that has
+   * no reply.
+   */
   CompletionStage<PeerMessage> handle(InstanceId sender, M message);
 }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/peer/PeerMessage.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/peer/PeerMessage.java
@@ -1,7 +1,7 @@
 package io.hawthornlb.core.peer;
 
 /**
- * Marks an immutable message between entry instances.
+ * Marker for immutable messages between entry instances.
  *
  * <p>Implementations are records. The codec writes the registered type name before the content.
  */
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/peer/package-info.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/peer/package-info.java
@@ -1,4 +1,4 @@
-/** Contract of the messages between entry instances. */
+/** Interfaces for messages between entry instances. */
 @NullMarked
 package io.hawthornlb.core.peer;
 
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/util/Checks.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/util/Checks.java
@@ -2,13 +2,15 @@
 
 import java.util.Collection;
 
-/** Argument checks that throw {@link IllegalArgumentException} with a message for the caller. */
+/**
+ * Argument checks that throw {@link IllegalArgumentException} with a message about the argument.
+ */
 public final class Checks {
 
   private Checks() {}
 
   /**
-   * Returns {@code text} when it has a visible character.
+   * Returns {@code text} if it is not blank.
    *
    * @throws IllegalArgumentException if it is blank
    */
@@ -20,7 +22,7 @@
   }
 
   /**
-   * Returns {@code value} when it is zero or more.
+   * Returns {@code value} if it is zero or more.
    *
    * @throws IllegalArgumentException if it is negative
    */
@@ -32,7 +34,7 @@
   }
 
   /**
-   * Returns {@code values} when it holds an element.
+   * Returns {@code values} if it is not empty.
    *
    * @throws IllegalArgumentException if it is empty
    */
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/util/ContentDigest.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/util/ContentDigest.java
@@ -6,14 +6,17 @@
 import java.security.NoSuchAlgorithmException;
 import java.util.HexFormat;
 
-/** Digests a sequence of texts, each with its length, so that no two sequences run together. */
+/**
+ * Digest of a sequence of texts. The length of each text is part of the digest, so that sequences
+ * with equal concatenations have different digests.
+ */
 public final class ContentDigest {
 
   private static final String ALGORITHM = "SHA-256";
 
   private final MessageDigest digest;
 
-  /** Creates the digest of no text. */
+  /** Creates the digest of an empty sequence. */
   public ContentDigest() {
     try {
       this.digest = MessageDigest.getInstance(ALGORITHM);
@@ -22,7 +25,7 @@
     }
   }
 
-  /** Adds a text. */
+  /** Appends a text to the sequence and returns this digest. */
   public ContentDigest add(String text) {
     byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
     digest.update(ByteBuffer.allocate(Integer.BYTES).putInt(bytes.length).array());
@@ -30,7 +33,7 @@
     return this;
   }
 
-  /** Returns the digest in lower-case hexadecimal and starts anew. */
+  /** Returns the digest in lower-case hexadecimal and resets it to the empty sequence. */
   public String hex() {
     return HexFormat.of().formatHex(digest.digest());
   }
--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/util/package-info.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/util/package-info.java
@@ -1,4 +1,4 @@
-/** Argument checks shared by all packages. */
+/** Utilities shared by all packages: argument checks and content digests. */
 @NullMarked
 package io.hawthornlb.core.util;
 
