--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/CoreDependenciesTest.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/CoreDependenciesTest.java
@@ -12,7 +12,10 @@
 
 class CoreDependenciesTest {
 
-  /** The library's own option looks for a build folder in the module, which is elsewhere here. */
+  /**
+   * Excludes test classes. The option of the library expects the build folder inside the module,
+   * but this build has it elsewhere.
+   */
   private static final ImportOption WITHOUT_TESTS =
       location -> !location.contains("/test-classes/");
 
@@ -32,7 +35,7 @@
   }
 
   @Test
-  void coreReadsNoClockOfTheMachine() {
+  void coreDoesNotReadTheSystemClock() {
     noClasses().should().callMethod(Instant.class, "now").check(core);
     noClasses().should().callMethod(System.class, "currentTimeMillis").check(core);
     noClasses().should().callMethod(System.class, "nanoTime").check(core);
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/harness/Cluster.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/harness/Cluster.java
@@ -18,7 +18,10 @@
 import java.util.Set;
 import java.util.function.BooleanSupplier;
 
-/** Instances around one partition; every delay and loss comes from the seed. */
+/**
+ * Simulated cluster of instances around one partition. Every delay and every loss is derived from
+ * the seed.
+ */
 public final class Cluster {
 
   public static final PartitionId PARTITION = new PartitionId(0);
@@ -30,12 +33,12 @@
       new PriorityQueue<>(Comparator.comparing(Task::at).thenComparingLong(Task::order));
   private final Map<InstanceId, Node> nodes = new LinkedHashMap<>();
   private final List<Claim> claims = new ArrayList<>();
-  private final Set<Set<InstanceId>> cutLinks = new HashSet<>();
+  private final Set<Set<InstanceId>> disconnectedPairs = new HashSet<>();
   private final Set<InstanceId> cutFromLog = new HashSet<>();
   private final FakeLog log = new FakeLog();
   private final FakeEndpoint endpoint;
   private double lostAnswers;
-  private double givenUp;
+  private double abandonedAppends;
   private Instant now = START;
   private long nextOrder;
 
@@ -52,9 +55,9 @@
     return node;
   }
 
-  /** Makes a valid claim, of which the instances learn when they next read the log. */
-  public Claim claim(Node holder, List<InstanceId> witnesses) {
-    Claim claim = new Claim(PARTITION, new Epoch(claims.size() + 1L), holder.id(), witnesses);
+  /** Adds a valid claim. The instances learn of it when they next read the log. */
+  public Claim claim(Node holder, List<InstanceId> replicas) {
+    Claim claim = new Claim(PARTITION, new Epoch(claims.size() + 1L), holder.id(), replicas);
     claims.add(claim);
     return claim;
   }
@@ -69,7 +72,7 @@
         delay,
         () -> {
           Node node = nodes.get(target);
-          if (node != null && linked(sender, target)) {
+          if (node != null && connected(sender, target)) {
             node.deliver(() -> node.receive(sender, message));
           }
         });
@@ -81,13 +84,13 @@
     now = end;
   }
 
-  /** Runs until a condition holds; returns whether it did within the time. */
+  /** Runs until a condition holds, and returns whether it held within the given time. */
   public boolean runUntil(BooleanSupplier condition, Duration time) {
     return runTo(condition, now.plus(time));
   }
 
   public void cut(Node one, Node other) {
-    cutLinks.add(Set.of(one.id(), other.id()));
+    disconnectedPairs.add(Set.of(one.id(), other.id()));
   }
 
   public void cutFromLog(Node node) {
@@ -95,7 +98,7 @@
   }
 
   public void healAll() {
-    cutLinks.clear();
+    disconnectedPairs.clear();
     cutFromLog.clear();
     log.down(false);
   }
@@ -108,13 +111,13 @@
     lostAnswers = share;
   }
 
-  /** Sets the share of appends that the log writer of an instance gives up. */
+  /** Sets the fraction of appends that the log writer of an instance abandons. */
   public void givenUpAppends(double share) {
-    givenUp = share;
+    abandonedAppends = share;
   }
 
   public boolean appendGivenUp() {
-    return givenUp > 0 && random.nextDouble() < givenUp;
+    return abandonedAppends > 0 && random.nextDouble() < abandonedAppends;
   }
 
   public boolean answerLost() {
@@ -145,8 +148,8 @@
     return claims;
   }
 
-  private boolean linked(InstanceId one, InstanceId other) {
-    return one.equals(other) || !cutLinks.contains(Set.of(one, other));
+  private boolean connected(InstanceId one, InstanceId other) {
+    return one.equals(other) || !disconnectedPairs.contains(Set.of(one, other));
   }
 
   private boolean runTo(BooleanSupplier condition, Instant end) {
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/harness/Delays.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/harness/Delays.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import java.util.Random;
 
-/** Modelled delays in microseconds; each is drawn between half and one and a half of its mean. */
+/** Modelled delays in microseconds. Each delay is drawn between 0.5 and 1.5 times its mean. */
 public record Delays(int appendMicros, int peerMicros, int pollMicros, int tickMicros) {
 
   public static final Delays VATUWAQA = new Delays(5_000, 500, 1_000, 1_000);
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/harness/FakeDispatcher.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/harness/FakeDispatcher.java
@@ -24,7 +24,7 @@
 import java.util.Set;
 import java.util.function.IntPredicate;
 
-/** Pulls items and runs each for a while. */
+/** Dispatcher that pulls items and runs each for a fixed time. */
 public final class FakeDispatcher {
 
   private static final ServiceName SERVICE = new ServiceName("log-reader");
@@ -38,7 +38,7 @@
   private int width;
   private Duration duration = Duration.ofMillis(30);
   private IntPredicate alwaysFailing = index -> false;
-  private Instant namedAt = Instant.EPOCH;
+  private Instant heldSentAt = Instant.EPOCH;
   private Instant pulledAt = Instant.EPOCH;
 
   FakeDispatcher(Node node, Cluster cluster) {
@@ -70,8 +70,8 @@
 
   void tick() {
     Instant now = cluster.now();
-    if (width > 0 && !namedAt.plusMillis(500).isAfter(now)) {
-      namedAt = now;
+    if (width > 0 && !heldSentAt.plusMillis(500).isAfter(now)) {
+      heldSentAt = now;
       toHolder(new ItemsHeld(node.id(), List.copyOf(running)));
     }
     resend(now);
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/harness/FakeEndpoint.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/harness/FakeEndpoint.java
@@ -12,7 +12,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** A plain service that counts executions by key and fails as it is told. */
+/**
+ * Plain service that counts executions by key, and fails or refuses a configured fraction of the
+ * calls.
+ */
 public final class FakeEndpoint {
 
   private final Cluster cluster;
@@ -25,12 +28,12 @@
     this.cluster = cluster;
   }
 
-  /** Sets the share of calls whose connection breaks after they have run. */
+  /** Sets the fraction of calls whose connection breaks after they have run. */
   public void failures(double share) {
     failures = share;
   }
 
-  /** Sets the share of calls that no endpoint takes. */
+  /** Sets the fraction of calls that no endpoint accepts. */
   public void refusals(double share) {
     refusals = share;
   }
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/harness/FakeLog.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/harness/FakeLog.java
@@ -6,7 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One stream of the platform, which takes a record as often as it is sent. */
+/** Stream of the platform that appends a record as often as it is sent. */
 public final class FakeLog {
 
   private final List<LogRecord> records = new ArrayList<>();
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/harness/NaiveRunOnceCoordinator.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/harness/NaiveRunOnceCoordinator.java
@@ -22,7 +22,9 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** The naive twin: runs at once and remembers keys in its own memory only. */
+/**
+ * Reference implementation that runs requests at once, and remembers keys only in its own memory.
+ */
 final class NaiveRunOnceCoordinator implements RunOnceCoordinator {
 
   private final PartitionId partition;
@@ -37,15 +39,15 @@
 
   @Override
   public List<Effect> on(RunOnceEvent event, Instant now) {
-    if (event instanceof ForwardRunOnce question) {
-      return take(question);
+    if (event instanceof ForwardRunOnce message) {
+      return take(message);
     }
     if (event instanceof CallAnswered answer) {
       results.put(answer.key(), answer.result());
       List<Effect> out = new ArrayList<>();
       waiting
           .getOrDefault(answer.key(), List.of())
-          .forEach(question -> out.add(answer(question, answer.result())));
+          .forEach(message -> out.add(answer(message, answer.result())));
       return out;
     }
     return List.of();
@@ -56,25 +58,25 @@
     return true;
   }
 
-  private List<Effect> take(ForwardRunOnce question) {
-    RunOnceKey key = question.request().key();
+  private List<Effect> take(ForwardRunOnce message) {
+    RunOnceKey key = message.request().key();
     if (held.claim().isEmpty()) {
       RunOnceAnswered redirect =
-          new RunOnceAnswered(question.id(), question.epoch(), Optional.empty());
-      return List.of(new SendPeerMessage(question.replyTo(), redirect));
+          new RunOnceAnswered(message.id(), message.epoch(), Optional.empty());
+      return List.of(new SendPeerMessage(message.replyTo(), redirect));
     }
     if (results.containsKey(key)) {
-      return List.of(answer(question, results.get(key)));
+      return List.of(answer(message, results.get(key)));
     }
-    boolean first = !waiting.containsKey(key);
-    waiting.computeIfAbsent(key, id -> new ArrayList<>()).add(question);
+    boolean isFirst = !waiting.containsKey(key);
+    waiting.computeIfAbsent(key, id -> new ArrayList<>()).add(message);
     AttemptId attempt = new AttemptId(new Epoch(0), 0);
-    return first ? List.of(new RunCall(partition, attempt, question.request())) : List.of();
+    return isFirst ? List.of(new RunCall(partition, attempt, message.request())) : List.of();
   }
 
-  private static Effect answer(ForwardRunOnce question, ServiceResult result) {
+  private static Effect answer(ForwardRunOnce message, ServiceResult result) {
     Optional<RunOnceAnswer> answer = Optional.of(RunOnceAnswer.of(result));
     return new SendPeerMessage(
-        question.replyTo(), new RunOnceAnswered(question.id(), question.epoch(), answer));
+        message.replyTo(), new RunOnceAnswered(message.id(), message.epoch(), answer));
   }
 }
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/harness/Node.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/harness/Node.java
@@ -58,7 +58,10 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** One instance: folds the stream, decides, and carries out effects on the fakes. */
+/**
+ * Simulated instance that folds the stream, runs the coordinators and performs their effects on the
+ * fakes.
+ */
 public final class Node implements ClaimView {
 
   private static final Duration RESEND = Duration.ofMillis(50);
@@ -132,7 +135,7 @@
     return runOnce;
   }
 
-  /** Whether the node holds the partition as far as it knows. */
+  /** Returns whether the node holds the partition as far as it knows. */
   public boolean holds() {
     return held.claim().isPresent();
   }
@@ -208,10 +211,10 @@
   }
 
   void receive(InstanceId sender, PeerMessage message) {
-    if (message instanceof StoreEntries question) {
-      cluster.send(id, sender, table.store(question, cluster.now()));
-    } else if (message instanceof FenceAndCollect question) {
-      cluster.send(id, sender, table.fence(question));
+    if (message instanceof StoreEntries request) {
+      cluster.send(id, sender, table.store(request, cluster.now()));
+    } else if (message instanceof FenceAndCollect request) {
+      cluster.send(id, sender, table.fence(request));
     } else if (message instanceof ForgetEntries forget) {
       table.forget(forget);
     } else if (message instanceof RunOnceAnswered answer) {
@@ -285,7 +288,10 @@
     cluster.schedule(cluster.delays().tick(), this::tick);
   }
 
-  /** Sends what has not been answered; an answer that was lost makes the log take it twice. */
+  /**
+   * Sends the appends that are not acknowledged. If an acknowledgement was lost, the log stores the
+   * record twice.
+   */
   private void sendAppends() {
     for (AppendRecord effect : List.copyOf(unacknowledged.values())) {
       Instant last = sentAt.get(effect.id());
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/harness/NodeParts.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/harness/NodeParts.java
@@ -4,7 +4,9 @@
 import io.hawthornlb.core.job.JobSettings;
 import io.hawthornlb.core.runonce.RunOnceSettings;
 
-/** What a node is made of; a naive or unguarded twin can take the place of a part. */
+/**
+ * Parts of a node. A reference implementation, or one with a safeguard removed, can replace a part.
+ */
 public record NodeParts(
     RunOnceSettings runOnce, JobSettings jobs, JobOrder order, Variant variant) {
 
@@ -12,13 +14,13 @@
     return new NodeParts(runOnce, jobs, order, Variant.STANDARD);
   }
 
-  /** Which guard is left out. */
+  /** Which safeguard is removed. */
   public enum Variant {
-    /** None. */
+    /** No safeguard is removed. */
     STANDARD,
-    /** Run-once requests run without an intent. */
+    /** Run-once requests run without a durable intent. */
     WITHOUT_INTENTS,
-    /** Witnesses store entries of epochs that a successor has fenced. */
+    /** Replicas store entries of epochs that a successor has fenced. */
     WITHOUT_FENCE
   }
 }
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/harness/UnfencedPartitionFold.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/harness/UnfencedPartitionFold.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** The fold with its guard out: the last opening wins, and every record is valid. */
+/** Partition fold without fencing: the last opening record applies, and every record is valid. */
 public final class UnfencedPartitionFold implements PartitionFold {
 
   private final List<PartitionSection> sections;
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/harness/UnfencedReplicaTable.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/harness/UnfencedReplicaTable.java
@@ -18,7 +18,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** The witness table with its guard out: it hands over entries but fences nobody. */
+/**
+ * Replica table without fencing: it returns the entries of old epochs but still accepts new ones
+ * for them.
+ */
 final class UnfencedReplicaTable implements ReplicaTable {
 
   private final InstanceId self;
@@ -29,28 +32,28 @@
   }
 
   @Override
-  public EntriesStored store(StoreEntries question, Instant now) {
+  public EntriesStored store(StoreEntries request, Instant now) {
     Map<RunOnceKey, RunOnceEntry> own =
-        epochs.computeIfAbsent(question.epoch(), epoch -> new LinkedHashMap<>());
-    question.entries().forEach(entry -> own.put(entry.key(), entry));
-    List<EntryMark> marks = question.entries().stream().map(EntryMark::of).toList();
-    return new EntriesStored(self, question.partition(), question.epoch(), marks, question.epoch());
+        epochs.computeIfAbsent(request.epoch(), epoch -> new LinkedHashMap<>());
+    request.entries().forEach(entry -> own.put(entry.key(), entry));
+    List<EntryMark> marks = request.entries().stream().map(EntryMark::of).toList();
+    return new EntriesStored(self, request.partition(), request.epoch(), marks, request.epoch());
   }
 
   @Override
   public void forget(ForgetEntries message) {}
 
   @Override
-  public ReplicaContents fence(FenceAndCollect question) {
+  public ReplicaContents fence(FenceAndCollect request) {
     List<RunOnceEntry> entries =
-        List.copyOf(epochs.getOrDefault(question.oldEpoch(), Map.of()).values());
+        List.copyOf(epochs.getOrDefault(request.oldEpoch(), Map.of()).values());
     return new ReplicaContents(
         self,
-        question.partition(),
-        question.epoch(),
-        question.oldEpoch(),
+        request.partition(),
+        request.epoch(),
+        request.oldEpoch(),
         0,
-        question.from() == 0 ? entries : List.of(),
+        request.from() == 0 ? entries : List.of(),
         false);
   }
 
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/harness/package-info.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/harness/package-info.java
@@ -1,4 +1,6 @@
-/** A few instances with fakes of log, peers and endpoints, driven by virtual time and a seed. */
+/**
+ * Simulated instances with fakes of log, peers and endpoints, driven by virtual time and a seed.
+ */
 @NullMarked
 package io.hawthornlb.core.harness;
 
