--- a/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/support/RunOnceFold.java
+++ b/hawthornlb-core/src/main/java/io/hawthornlb/core/runonce/support/RunOnceFold.java
@@ -9,11 +9,11 @@
 import io.hawthornlb.core.runonce.EntriesRecorded;
 import io.hawthornlb.core.runonce.EntryState;
 import io.hawthornlb.core.runonce.KeyState;
+import io.hawthornlb.core.runonce.ReplicasNamed;
+import io.hawthornlb.core.runonce.ReplicasReleased;
 import io.hawthornlb.core.runonce.RunOnceDirectory;
 import io.hawthornlb.core.runonce.RunOnceEntry;
 import io.hawthornlb.core.runonce.RunOnceKey;
-import io.hawthornlb.core.runonce.WitnessesNamed;
-import io.hawthornlb.core.runonce.WitnessesReleased;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayList;
@@ -24,21 +24,22 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The run-once requests of a partition.
+ * Default run-once state of a partition, folded from its stream.
  *
- * <p>An entry replaces another of its key if it says more; so the state is the same in whichever
- * order, and however often, the valid records of a key are applied. Results stay in the log.
+ * <p>An entry replaces another entry of its key if it belongs to a later attempt or to a later
+ * state of the same attempt. Therefore the state does not depend on the order in which valid
+ * records of a key are applied, nor on how often. Results stay in the log.
  */
 public final class RunOnceFold implements PartitionSection, RunOnceDirectory {
 
   private static final Duration EXPIRY_INTERVAL = Duration.ofMinutes(1);
 
   private final Map<HashValue128, Slot> slots = new HashMap<>();
-  private @Nullable WitnessesNamed witnesses;
+  private @Nullable ReplicasNamed replicasNamed;
   private boolean released;
   private Instant expiredAt = Instant.EPOCH;
 
-  /** Creates the state without requests. */
+  /** Creates a state without keys. */
   public RunOnceFold() {}
 
   @Override
@@ -48,11 +49,11 @@
       for (int i = 0; i < recorded.entries().size(); i++) {
         merge(recorded.entries().get(i), entry, i);
       }
-    } else if (entry.body() instanceof WitnessesNamed named) {
-      witnesses = named;
+    } else if (entry.body() instanceof ReplicasNamed named) {
+      replicasNamed = named;
       released = false;
-    } else if (entry.body() instanceof WitnessesReleased end) {
-      released = witnesses != null && witnesses.epoch().equals(end.epoch());
+    } else if (entry.body() instanceof ReplicasReleased end) {
+      released = replicasNamed != null && replicasNamed.epoch().equals(end.epoch());
     }
   }
 
@@ -67,8 +68,8 @@
   }
 
   @Override
-  public Optional<WitnessesNamed> witnesses() {
-    return Optional.ofNullable(witnesses);
+  public Optional<ReplicasNamed> replicasNamed() {
+    return Optional.ofNullable(replicasNamed);
   }
 
   @Override
@@ -81,7 +82,10 @@
     return slots.size();
   }
 
-  /** Returns up to a number of offsets below a limit whose records are still needed. */
+  /**
+   * Returns up to {@code max} offsets below a limit whose records hold the state of an unexpired
+   * key.
+   */
   List<Long> neededBelow(long limit, int max) {
     List<Long> offsets = new ArrayList<>();
     for (Slot slot : slots.values()) {
@@ -95,8 +99,8 @@
     return offsets;
   }
 
-  private void merge(RunOnceEntry entry, LogRecord holder, int position) {
-    if (entry.expiresAt().isBefore(holder.appendedAt())) {
+  private void merge(RunOnceEntry entry, LogRecord logRecord, int position) {
+    if (entry.expiresAt().isBefore(logRecord.appendedAt())) {
       return;
     }
     Slot slot = slots.computeIfAbsent(hash(entry.key()), key -> new Slot());
@@ -105,7 +109,7 @@
       slot.set(entry, fingerprintHash(entry.fingerprint()));
     }
     if (order <= 0) {
-      slot.offset = holder.offset();
+      slot.offset = logRecord.offset();
       slot.position = position;
     }
   }
@@ -127,7 +131,7 @@
     return Hashing.wyhashFinal4().hashCharsToLong(fingerprint);
   }
 
-  /** One key in few bytes; there may be hundreds of thousands. */
+  /** State of one key in a compact form, since there may be hundreds of thousands of keys. */
   private static final class Slot {
 
     private long fingerprintHash;
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/job/JobFailureTest.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/job/JobFailureTest.java
@@ -167,7 +167,7 @@
 
     assertEquals(executed, scenario.allExecutions());
     assertEquals(JobPhase.CANCELLED, scenario.status(job).phase());
-    assertEquals(0, IntStream.range(1, 4).map(i -> scenario.node(i).steward().running()).sum());
+    assertEquals(0, IntStream.range(1, 4).map(i -> scenario.node(i).dispatcher().running()).sum());
   }
 
   // The holder dies after it receives the cancellation and before it stores the record. The caller
@@ -198,7 +198,7 @@
   void impossibleItemsEndAsFailedAndDoNotBlockTheJob() {
     scenario.hold(0);
     IntStream.range(0, 4)
-        .forEach(i -> scenario.node(i).steward().impossible(index -> index % 50 == 7));
+        .forEach(i -> scenario.node(i).dispatcher().alwaysFailing(index -> index % 50 == 7));
     JobId job = scenario.accepted("reports", 200);
     scenario.dispatcherWidth(8);
 
@@ -219,7 +219,7 @@
   @Test
   void attemptCountSurvivesFailovers() {
     scenario.hold(0);
-    IntStream.range(0, 4).forEach(i -> scenario.node(i).steward().impossible(index -> true));
+    IntStream.range(0, 4).forEach(i -> scenario.node(i).dispatcher().alwaysFailing(index -> true));
     JobId job = scenario.accepted("reports", 1);
     scenario.dispatcherWidth(1);
     for (int holder = 1; holder < 4; holder++) {
