--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/AppendSize.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/AppendSize.java
@@ -5,23 +5,27 @@
 import java.util.List;
 
 /**
- * Keeps appends below what the store takes in one call.
+ * Bounds the size of appends, so that the store accepts each of them in one call.
  *
- * <p>Failure: the store is away for seconds, many items end meanwhile, and their results are more
- * than it takes at once. It shows as an append that is refused for good, and no item of the
- * partition is ever listed again. Guard: what is more goes with the next append.
+ * <p>If the store is unavailable for seconds while many items complete, the results together exceed
+ * the store's limit for one call. The store would refuse such an append on every retry, and no item
+ * of the partition would ever get its result into the log. Records beyond the bound therefore go
+ * with the next append.
  */
 final class AppendSize {
 
-  /** Bytes of an append from which on no record is added; a store takes 2 MiB a call. */
+  /**
+   * Number of bytes from which on no further record is added to an append; the store accepts 2 MiB
+   * a call.
+   */
   private static final int MAX_BYTES = 1024 * 1024;
 
-  /** Bytes that frame a record: its length, the length of the key, and the key. */
+  /** Framing overhead of a record in bytes: its length, the length of its key, and the key. */
   private static final int FRAME_BYTES = 5;
 
   private int bytes;
 
-  /** Counts records; returns whether further ones may be added. */
+  /** Adds the size of records; returns whether the append has room for further records. */
   boolean add(List<KeyedRecord> records) {
     for (KeyedRecord record : records) {
       byte[] value = record.value();
@@ -30,7 +34,7 @@
     return bytes < MAX_BYTES;
   }
 
-  /** Returns records in as many parts as they need, in their order. */
+  /** Splits records into as many appends as they need, in their order. */
   static List<List<KeyedRecord>> parts(List<KeyedRecord> records) {
     List<List<KeyedRecord>> parts = new ArrayList<>();
     List<KeyedRecord> part = new ArrayList<>();
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/HoldNotices.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/HoldNotices.java
@@ -1,24 +1,28 @@
 package io.hawthornlb.gateway.job;
 
 /**
- * Tells the other processes which partitions this one holds.
+ * Notifies the other processes which partitions this process holds.
  *
- * <p>Failure: a holder is cut off from the store, and another process takes its partitions over.
- * The former one runs their items on, in slots that others need, until it reaches the store again.
- * Guard: the new holder tells the others directly; a notice that is lost costs slots, nothing else.
+ * <p>A holder may be cut off from the store while another process takes its partitions over. The
+ * former holder would continue to run their items, in slots that other work needs, until it reaches
+ * the store again. Therefore the new holder notifies the other processes directly. A lost notice
+ * costs slots and nothing else.
  */
 public interface HoldNotices {
 
-  /** Tells that this process holds a partition under an epoch. */
+  /** Sends a notice that this process holds a partition under an epoch. */
   void held(int partition, long epoch);
 
-  /** Sets who is told what other processes hold. */
+  /** Sets the listener for notices of other processes. */
   void onHeld(Listener listener);
 
-  /** Receives notices of other processes. */
+  /** Listener for notices of other processes. */
   interface Listener {
 
-    /** Takes a notice; the higher epoch is the later holder's. */
+    /**
+     * Called with a notice. Of two holders of a partition, the one with the higher epoch is the
+     * later.
+     */
     void onHeld(String holder, int partition, long epoch);
   }
 }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/HolderSelection.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/HolderSelection.java
@@ -5,19 +5,26 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Decides whether this process is among those that share the partitions. No I/O; time is passed in.
+ * Decides whether this process belongs to the group that shares the partitions. Performs no I/O;
+ * the time is passed in.
  *
- * <p>Load pattern: each process that joins or leaves the group moves partitions, and with each of
- * them all items that run there. In a large fleet that is restarted in turn this goes on for
- * minutes, and an item runs for seconds. So only as many share the partitions as there are of them;
- * the others' restarts move nothing.
+ * <p>Each process that joins or leaves the group moves partitions, and with each partition all
+ * items that run there. During a rolling restart of a large fleet this would go on for minutes,
+ * while an item runs for seconds. Therefore only as many processes are members as there are
+ * partitions; restarts of the others move nothing.
  */
 final class HolderSelection {
 
-  /** Ranks beyond the number of partitions at which a member stays; views of the fleet differ. */
-  private static final int STAYS = 4;
+  /**
+   * Number of ranks beyond the partition count at which a member stays a member, since the
+   * processes' views of the fleet differ.
+   */
+  private static final int EXTRA_RANKS = 4;
 
-  /** Time for which a member must rank behind that before it leaves; longer than a suspicion. */
+  /**
+   * Time for which a member must rank beyond these extra ranks before it leaves; longer than a
+   * suspicion lasts.
+   */
   private static final Duration LEAVE_AFTER = Duration.ofSeconds(10);
 
   private final int partitions;
@@ -28,12 +35,16 @@
     this.partitions = partitions;
   }
 
-  /** Returns whether the process at a rank among those that do not seem silent is a member. */
+  /**
+   * Returns whether this process is a member.
+   *
+   * @param rank rank of this process among those that are not suspected of being silent
+   */
   boolean member(int rank, Instant now) {
     if (rank < partitions) {
       member = true;
     }
-    if (!member || rank < partitions + STAYS) {
+    if (!member || rank < partitions + EXTRA_RANKS) {
       behindSince = null;
       return member;
     }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/ItemOutcome.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/ItemOutcome.java
@@ -1,11 +1,15 @@
 package io.hawthornlb.gateway.job;
 
-/** Receives what becomes of an item's runs. */
+/** Listener for the outcome of an item's attempts. */
 interface ItemOutcome {
 
-  /** Takes the result of an item. */
+  /** Called with the result of an item, once the item has completed or is given up. */
   void done(JobItem item, JobResult result);
 
-  /** Takes the number of an item's runs that an endpoint has ended with a failure of its own. */
-  void failed(JobItem item, int count);
+  /**
+   * Called when an endpoint has failed at an item.
+   *
+   * @param count number of attempts so far that an endpoint has ended with status 500
+   */
+  void endpointFailed(JobItem item, int count);
 }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/ItemOutput.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/ItemOutput.java
@@ -4,10 +4,10 @@
 import io.hawthornlb.gateway.wire.StreamEvent;
 import java.util.Optional;
 
-/** What an item has produced so far, event by event, over all its runs. */
+/** Output of an item so far, over all its attempts. */
 final class ItemOutput {
 
-  /** Number of the first event of a run that is asked for all of them. */
+  /** Number of the first event of an attempt that requests all events. */
   private static final long FIRST_EVENT = 1;
 
   private final String itemId;
@@ -18,20 +18,20 @@
   private int recordedLength;
 
   /**
-   * Creates the output of an item that goes on behind what is kept.
+   * Creates the output of an item that continues from recorded progress.
    *
-   * @param epoch epoch of the holder that records it
+   * @param epoch epoch of the holder that records further progress
    */
-  ItemOutput(String itemId, ItemProgress kept, long epoch) {
+  ItemOutput(String itemId, ItemProgress earlier, long epoch) {
     this.itemId = itemId;
     this.epoch = epoch;
-    this.text.append(kept.text());
-    this.lastEventId = kept.lastEventId();
-    this.recorded = kept.end();
+    this.text.append(earlier.text());
+    this.lastEventId = earlier.lastEventId();
+    this.recorded = earlier.end();
     this.recordedLength = text.length();
   }
 
-  /** Returns the number of the last event; -1 before the first. */
+  /** Returns the number of the last event; -1 before the first event. */
   long lastEventId() {
     return lastEventId;
   }
@@ -42,24 +42,25 @@
   }
 
   /**
-   * Returns whether a run with a new event is not the one that was asked for.
+   * Returns whether an event breaks the sequence of the events that the attempt has to deliver.
    *
-   * <p>Failure: an endpoint spoils an event on the way, or begins anew where it was asked to go on.
-   * It shows as a gap in the numbers of a stream that ends well, or as a text of two runs. Guard:
-   * such a run counts as broken, and the next one brings what is missing.
+   * <p>An endpoint may lose an event on the way, or may start from the beginning although it was
+   * asked to continue. The output would then have a gap although the stream ends normally, or would
+   * mix the texts of two attempts. Therefore such an attempt counts as failed, and the next attempt
+   * delivers the missing events.
    *
-   * @param first whether no numbered event of the run came before
+   * @param first whether this is the first numbered event of the attempt
    */
-  boolean strays(StreamEvent event, boolean first) {
+  boolean breaksSequence(StreamEvent event, boolean first) {
     boolean missing = event.id() > Math.max(FIRST_EVENT, lastEventId + 1);
-    boolean anew = first && event.id() >= 0 && event.id() <= lastEventId;
-    return missing || anew;
+    boolean restarted = first && event.id() >= 0 && event.id() <= lastEventId;
+    return missing || restarted;
   }
 
-  /** Takes an event; returns whether it is the next one, or one without a number. */
-  boolean take(StreamEvent event) {
+  /** Appends an event; returns whether the event is the next one or has no number. */
+  boolean append(StreamEvent event) {
     if (event.id() >= 0 && event.id() != lastEventId + 1 && lastEventId >= 0) {
-      // An event that was taken before, or one after a gap, which the next run brings.
+      // The event was appended before, or it follows a gap, which the next attempt fills.
       return false;
     }
     if (event.id() >= 0) {
@@ -72,16 +73,19 @@
     return true;
   }
 
-  /** Returns what came since the last call that returned something, if it is at least so much. */
-  Optional<JobRecords.Gained> gained(long leastEvents) {
-    if (lastEventId - recorded.eventId() < leastEvents) {
+  /**
+   * Returns the progress since the last call that returned some, if it has at least {@code
+   * minEvents} events.
+   */
+  Optional<JobRecords.Progress> newProgress(long minEvents) {
+    if (lastEventId - recorded.eventId() < minEvents) {
       return Optional.empty();
     }
     ProgressLink upTo = new ProgressLink(lastEventId, epoch);
     String added = text.substring(recordedLength);
-    JobRecords.Gained gained = new JobRecords.Gained(itemId, recorded, upTo, added);
+    JobRecords.Progress progress = new JobRecords.Progress(itemId, recorded, upTo, added);
     recorded = upTo;
     recordedLength = text.length();
-    return Optional.of(gained);
+    return Optional.of(progress);
   }
 }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/ItemRules.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/ItemRules.java
@@ -1,11 +1,13 @@
 package io.hawthornlb.gateway.job;
 
-/** Decides whether an item is given up. No I/O, no time. */
+/**
+ * Decides whether an item is given up after a failure. Performs no I/O and does not use the time.
+ */
 final class ItemRules {
 
   private ItemRules() {}
 
-  /** What follows an endpoint's failure. */
+  /** What to do with an item after an endpoint has failed at it. */
   enum Next {
     /** The item runs again. */
     RUN_AGAIN,
@@ -13,18 +15,18 @@
     GIVE_UP
   }
 
-  /** The endpoint says that the item can never be done. */
-  static final int NEVER = 422;
+  /** Status by which an endpoint says that the item can never be completed. */
+  static final int PERMANENT_FAILURE = 422;
 
   /**
-   * Returns what follows an answer without success.
+   * Returns what to do after a response that is not a success.
    *
-   * @param status status of the answer
-   * @param failures answers of 500 so far, this one included
-   * @param maxAttempts failures after which an item is given up
+   * @param status status of the response
+   * @param failures number of responses with status 500 so far, including this one
+   * @param maxAttempts number of failures after which an item is given up
    */
-  static Next after(int status, int failures, int maxAttempts) {
-    if (status == NEVER) {
+  static Next afterFailure(int status, int failures, int maxAttempts) {
+    if (status == PERMANENT_FAILURE) {
       return Next.GIVE_UP;
     }
     return status == 500 && failures >= maxAttempts ? Next.GIVE_UP : Next.RUN_AGAIN;
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/ItemRun.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/ItemRun.java
@@ -33,18 +33,23 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Runs one item until it is done: gives way when its slot is revoked, and goes on after the last
- * whole event at whatever endpoint is free next.
+ * Runs one item until it completes or is given up.
+ *
+ * <p>If the coordinator revokes the item's slot, the run stops and waits for another slot. The next
+ * attempt continues after the last complete event, at whichever endpoint is free.
  */
-final class ItemRun implements AskWindow.Asker, SilenceWatch.Listener {
+final class ItemRun implements SlotRequestLimiter.Requester, SilenceWatch.Listener {
 
-  /** Time that an item waits at a coordinator before it asks anew, in case that one is gone. */
+  /**
+   * Time that an item waits at a coordinator before it sends its slot request again, in case that
+   * coordinator is gone.
+   */
   private static final Duration SLOT_WAIT = Duration.ofSeconds(2);
 
-  /** Pause before a slot is asked for again after a refusal or a failure. */
+  /** Pause before the next slot request after a refusal or a failure. */
   private static final Duration PAUSE = Duration.ofMillis(100);
 
-  /** Silence after which a stream is taken for lost. */
+  /** Silence after which a stream is considered lost. */
   private static final SilenceWatch.Limits SILENCE =
       new SilenceWatch.Limits(Duration.ofSeconds(2), Duration.ofSeconds(2));
 
@@ -53,7 +58,7 @@
   private final JobItem item;
   private final Instant due;
   private final ItemOutcome outcome;
-  private final AskWindow window;
+  private final SlotRequestLimiter limiter;
   private final SilenceWatch watch;
   private final RunEstimate estimate;
   private final ItemOutput output;
@@ -63,8 +68,8 @@
   private int failures;
   private @Nullable SlotKey slot;
   private @Nullable EndpointCall call;
-  private Instant lastEvent;
-  private boolean asking;
+  private Instant lastEventAt;
+  private boolean requesting;
   private boolean stopped;
 
   ItemRun(
@@ -74,7 +79,7 @@
       long epoch,
       Instant due,
       RunEstimate estimate,
-      AskWindow window,
+      SlotRequestLimiter limiter,
       ItemOutcome outcome) {
     this.output = new ItemOutput(item.id(), job.progress(item.id()), epoch);
     this.estimate = estimate;
@@ -84,41 +89,45 @@
     this.item = item;
     this.due = due;
     this.outcome = outcome;
-    this.window = window;
-    this.lastEvent = parts.clock().instant();
-    this.watch = new SilenceWatch(parts.executor(), parts.clock(), SILENCE, () -> lastEvent, this);
+    this.limiter = limiter;
+    this.lastEventAt = parts.clock().instant();
+    this.watch =
+        new SilenceWatch(parts.executor(), parts.clock(), SILENCE, () -> lastEventAt, this);
   }
 
   void start() {
     acquire();
   }
 
-  /** Ends the run at once. */
+  /** Stops the run immediately, without a result. */
   void stop() {
     stopped = true;
-    window.withdraw(this);
-    leaveWindow();
+    limiter.withdraw(this);
+    leaveLimiter();
     end(SlotOutcome.ABANDONED);
   }
 
-  /** Returns whether the item has not ended. */
+  /** Returns whether the run has neither ended nor been stopped. */
   boolean running() {
     return !stopped;
   }
 
-  /** Returns the job that the item is part of. */
+  /** Returns the job to which the item belongs. */
   Job job() {
     return job;
   }
 
-  /** Returns what the item has gained since the last call, if that is at least some events. */
-  Optional<JobRecords.Gained> gained(long leastEvents) {
-    return output.gained(leastEvents);
+  /**
+   * Returns the progress since the last call that returned some, if it has at least {@code
+   * minEvents} events.
+   */
+  Optional<JobRecords.Progress> newProgress(long minEvents) {
+    return output.newProgress(minEvents);
   }
 
   private void acquire() {
     if (!stopped) {
-      window.enter(this);
+      limiter.enter(this);
     }
   }
 
@@ -128,15 +137,15 @@
   }
 
   @Override
-  public void ask() {
+  public void requestSlot() {
     Optional<Route> route = route();
     if (route.isEmpty()) {
-      // The route is gone for now; a later configuration may bring it back.
-      window.left();
-      again(SLOT_WAIT);
+      // The configuration has no route for the item at present. A later configuration may have one.
+      limiter.leave();
+      retryAfter(SLOT_WAIT);
       return;
     }
-    asking = true;
+    requesting = true;
     SlotKey key = parts.slots().nextKey();
     slot = key;
     SlotRequest wanted =
@@ -145,7 +154,7 @@
             route.get().service(0),
             true,
             due.toEpochMilli(),
-            estimate.left(output.lastEventId()),
+            estimate.remaining(output.lastEventId()),
             parts.dataCentre(),
             SLOT_WAIT,
             SLOT_WAIT,
@@ -163,25 +172,25 @@
     if (stopped) {
       return;
     }
-    leaveWindow();
+    leaveLimiter();
     if (answer instanceof SlotAnswer.Granted granted) {
       send(granted.life());
     } else if (answer instanceof SlotAnswer.Revoked) {
       parts.metrics().count("items", "gave way");
-      line("item.gave.way").write();
+      logLine("item.gave.way").write();
       slot = null;
       end(SlotOutcome.ABANDONED);
       acquire();
     } else {
       slot = null;
-      again(PAUSE);
+      retryAfter(PAUSE);
     }
   }
 
-  private void leaveWindow() {
-    if (asking) {
-      asking = false;
-      window.left();
+  private void leaveLimiter() {
+    if (requesting) {
+      requesting = false;
+      limiter.leave();
     }
   }
 
@@ -190,13 +199,16 @@
     if (target.isEmpty() || target.get().leaving()) {
       excluded.add(life);
       end(SlotOutcome.REPLACED);
-      again(PAUSE);
+      retryAfter(PAUSE);
       return;
     }
-    lastEvent = parts.clock().instant();
-    sentAt = lastEvent;
-    line("item.sent").with("endpoint", life.id()).with("after", output.lastEventId()).write();
-    call = parts.pool().send(life, target.get().address(), outgoing(life.id()), new Answer(life));
+    lastEventAt = parts.clock().instant();
+    sentAt = lastEventAt;
+    logLine("item.sent").with("endpoint", life.id()).with("after", output.lastEventId()).write();
+    call =
+        parts
+            .pool()
+            .send(life, target.get().address(), outgoing(life.id()), new ResponseListener(life));
     watch.start();
   }
 
@@ -221,18 +233,18 @@
 
   @Override
   public void suspicious(Duration silence) {
-    // An item has time; online requests find out whether the endpoint is silent.
+    // A batch item can wait. Online requests detect whether the endpoint is silent.
   }
 
   @Override
   public boolean stalled(Duration silence) {
-    line("item.stalled").with("after", output.lastEventId()).write();
+    logLine("item.stalled").with("after", output.lastEventId()).write();
     end(SlotOutcome.FAILED);
-    again(PAUSE);
+    retryAfter(PAUSE);
     return false;
   }
 
-  private void again(Duration pause) {
+  private void retryAfter(Duration pause) {
     parts.executor().schedule(this::acquire, pause.toMillis(), TimeUnit.MILLISECONDS);
   }
 
@@ -254,48 +266,49 @@
     }
   }
 
-  private void completed() {
+  private void complete() {
     end(SlotOutcome.ANSWERED);
     stopped = true;
-    estimate.done(ran, output.lastEventId());
+    estimate.recordCompletion(ran, output.lastEventId());
     parts.metrics().count("items", "completed");
     parts.metrics().time("items.run", "completed", ran);
-    line("item.completed").with("events", output.lastEventId()).write();
+    logLine("item.completed").with("events", output.lastEventId()).write();
     outcome.done(item, new JobResult(item.id(), true, output.text()));
   }
 
-  private void failedWith(int status) {
+  private void failWithStatus(int status) {
     failures += status == 500 ? 1 : 0;
-    // A route that is gone for now may come back, and allow more.
+    // If the route is missing at present, the item is not given up: a later configuration may have
+    // the route again and may allow more attempts.
     int maxAttempts = route().map(Route::maxAttempts).orElse(Integer.MAX_VALUE);
     end(SlotOutcome.ANSWERED);
     parts.metrics().count("items.failed", String.valueOf(status));
-    line("item.failed").with("status", status).with("failures", failures).write();
-    if (ItemRules.after(status, failures, maxAttempts) == ItemRules.Next.GIVE_UP) {
+    logLine("item.failed").with("status", status).with("failures", failures).write();
+    if (ItemRules.afterFailure(status, failures, maxAttempts) == ItemRules.Next.GIVE_UP) {
       stopped = true;
       outcome.done(item, new JobResult(item.id(), false, ""));
     } else {
-      outcome.failed(item, failures);
-      again(PAUSE);
+      outcome.endpointFailed(item, failures);
+      retryAfter(PAUSE);
     }
   }
 
-  private EventLine line(String event) {
+  private EventLine logLine(String event) {
     return parts.log().routine("job", event).with("id", item.id()).with("job", job.id());
   }
 
-  /** Takes the answer of one endpoint. */
-  private final class Answer implements EndpointCallListener {
+  /** Handles the response of one endpoint. */
+  private final class ResponseListener implements EndpointCallListener {
 
     private final EndpointLife life;
     private final EventSplitter splitter = new EventSplitter();
     private int status;
     private boolean notRun;
     private boolean begun;
-    private boolean strayed;
-    private boolean proven;
+    private boolean outOfSequence;
+    private boolean signed;
 
-    private Answer(EndpointLife life) {
+    private ResponseListener(EndpointLife life) {
       this.life = life;
     }
 
@@ -317,30 +330,30 @@
             .ifPresent(load -> parts.slots().told(held, load));
       }
       notRun = response.headers().contains(parts.names().notRun()) || status == 421;
-      proven =
+      signed =
           response.headers().contains(parts.names().signature())
               && !response.headers().contains(HttpHeaderNames.CONTENT_ENCODING);
     }
 
     @Override
     public void onContent(ByteBuf content) {
-      if (status == 200 && proven) {
+      if (status == 200 && signed) {
         splitter.feed(content).forEach(this::take);
       }
     }
 
     private void take(StreamEvent event) {
-      if (strayed) {
+      if (outOfSequence) {
         return;
       }
-      if (output.strays(event, !begun)) {
-        strayed = true;
-        onFailure(true, "event " + event.id() + " follows " + output.lastEventId());
+      if (output.breaksSequence(event, !begun)) {
+        outOfSequence = true;
+        onFailure(true, "event " + event.id() + " does not follow event " + output.lastEventId());
         return;
       }
       begun |= event.id() >= 0;
-      if (output.take(event)) {
-        lastEvent = parts.clock().instant();
+      if (output.append(event)) {
+        lastEventAt = parts.clock().instant();
       }
     }
 
@@ -349,24 +362,24 @@
       if (notRun) {
         excluded.add(life);
         end(status == 421 ? SlotOutcome.REPLACED : SlotOutcome.SHED);
-        again(PAUSE);
-      } else if (status == 200 && proven && !splitter.torn()) {
-        completed();
+        retryAfter(PAUSE);
+      } else if (status == 200 && signed && !splitter.torn()) {
+        complete();
       } else if (status == 200) {
-        onFailure(true, "the answer is torn or bears no proof");
+        onFailure(true, "the response is incomplete or not signed");
       } else {
-        // Another endpoint may do what this one fails at.
+        // Another endpoint may complete the item that this one fails at.
         excluded.add(life);
-        failedWith(status);
+        failWithStatus(status);
       }
     }
 
     @Override
     public void onFailure(boolean sent, String cause) {
-      line("item.broken").with("endpoint", life.id()).with("cause", cause).write();
+      logLine("item.broken").with("endpoint", life.id()).with("cause", cause).write();
       excluded.add(life);
       end(sent ? SlotOutcome.FAILED : SlotOutcome.UNREACHED);
-      again(PAUSE);
+      retryAfter(PAUSE);
     }
   }
 }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/Job.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/Job.java
@@ -10,7 +10,12 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** A job as the log tells it: accepted once, results at fixed positions, perhaps ended. */
+/**
+ * A job as recorded in the log.
+ *
+ * <p>A job is accepted once. An item is listed once it has a result at a fixed position. A caller
+ * may end the job.
+ */
 public final class Job {
 
   private final String id;
@@ -34,58 +39,57 @@
     this.items.forEach(item -> itemsById.put(item.id(), item));
   }
 
-  /** Returns the id. */
+  /** Returns the id, chosen by the caller. */
   public String id() {
     return id;
   }
 
-  /** Returns the host whose route the job came by. */
+  /** Returns the host of the request that submitted the job; selects the route. */
   public String host() {
     return host;
   }
 
-  /** Returns when it was accepted. */
+  /** Returns when the job was accepted, by the clock of the instance that accepted it. */
   public Instant accepted() {
     return accepted;
   }
 
-  /** Returns all items. */
+  /** Returns all items in the order of submission. */
   public List<JobItem> items() {
     return items;
   }
 
-  /** Returns whether its caller ended it. */
+  /** Returns whether the caller has ended the job. */
   public boolean ended() {
     return ended;
   }
 
-  /** Returns the number of results that stand without a gap from position 0. */
+  /** Returns the number of results from position 0 up to the first gap. */
   public int resultCount() {
     int count = results.size();
     return count == 0 || results.lastKey() == count - 1 ? count : contiguous();
   }
 
-  /** Returns whether each item has a result. */
+  /** Returns whether all items have results. */
   public boolean complete() {
     return listed.size() >= items.size();
   }
 
-  /** Returns whether an item has a result. */
+  /** Returns whether an item is listed, that is, has a result at a position. */
   public boolean listed(String itemId) {
     return listed.contains(itemId);
   }
 
-  /** Returns an item. */
   public Optional<JobItem> item(String itemId) {
     return Optional.ofNullable(itemsById.get(itemId));
   }
 
-  /** Returns the result at a position. */
+  /** Returns the result at a position; empty if the position is free. */
   Optional<JobResult> result(int position) {
     return Optional.ofNullable(results.get(position));
   }
 
-  /** Returns the first position from one on at which no result stands. */
+  /** Returns the first free position at or after a given one. */
   int freePosition(int from) {
     int position = from;
     while (results.containsKey(position)) {
@@ -94,7 +98,10 @@
     return position;
   }
 
-  /** Returns results from a position on, up to a number of bytes but at least one. */
+  /**
+   * Returns consecutive results from a position on: as many as fit a number of bytes, but at least
+   * one.
+   */
   public List<JobResult> page(int after, int maxBytes) {
     List<JobResult> page = new ArrayList<>();
     int bytes = 0;
@@ -110,43 +117,43 @@
     return page;
   }
 
-  /** Returns what is kept of an item that is not done. */
+  /** Returns the recorded progress of an item without a result. */
   ItemProgress progress(String itemId) {
     ProgressChain chain = progress.get(itemId);
     return chain == null ? ItemProgress.NONE : chain.progress();
   }
 
-  /** Returns how many runs of an item endpoints have ended with a failure of their own. */
+  /** Returns how many attempts at an item endpoints have ended with status 500. */
   int failures(String itemId) {
     return failures.getOrDefault(itemId, 0);
   }
 
-  /** Returns the result of an item that a former holder could not list. */
+  /** Returns the offered result of an item: one that a former holder got but could not list. */
   Optional<JobResult> offered(String itemId) {
     return Optional.ofNullable(offers.get(itemId));
   }
 
-  /** Takes a result of a former holder; passes over one of an item that has its result. */
-  void offer(JobResult result) {
+  /** Adds an offered result of a former holder; ignored if the item has a result. */
+  void addOffer(JobResult result) {
     if (!listed.contains(result.itemId())) {
       offers.putIfAbsent(result.itemId(), result);
     }
   }
 
-  /** Takes a number of failed runs; the highest one counts. */
-  void fail(JobRecords.Failures failed) {
+  /** Updates the number of failed attempts at an item; the highest number counts. */
+  void addFailures(JobRecords.Failures failed) {
     failures.merge(failed.itemId(), failed.count(), Math::max);
   }
 
-  /** Takes a record of what an item has gained; passes over one of an item with its result. */
-  void gain(JobRecords.Gained gained) {
-    if (!listed.contains(gained.itemId())) {
-      progress.computeIfAbsent(gained.itemId(), any -> new ProgressChain()).put(gained);
+  /** Adds a progress record of an item; ignored if the item has a result. */
+  void addProgress(JobRecords.Progress added) {
+    if (!listed.contains(added.itemId())) {
+      progress.computeIfAbsent(added.itemId(), any -> new ProgressChain()).put(added);
     }
   }
 
-  /** Forgets the record of what an item has gained that begins at a place. */
-  void forget(String itemId, ProgressLink start) {
+  /** Removes the progress record of an item that begins at a point. */
+  void dropProgress(String itemId, ProgressLink start) {
     ProgressChain chain = progress.get(itemId);
     if (chain != null) {
       chain.drop(start);
@@ -154,11 +161,14 @@
   }
 
   /**
-   * Takes a result; the first one at a position, and the first one of an item, stays. One of an
-   * item that the job lacks, or beyond its last item, is passed over.
+   * Lists a result at a position. The first result at a position and the first result of an item
+   * stay.
+   *
+   * <p>A result is ignored if its item is not part of the job or if the position is beyond the last
+   * item.
    */
   void put(int position, JobResult result) {
-    if (!has(position, result)) {
+    if (!accepts(position, result)) {
       return;
     }
     if (!results.containsKey(position) && listed.add(result.itemId())) {
@@ -168,8 +178,8 @@
     }
   }
 
-  /** Returns whether a result can be one of this job at a position. */
-  boolean has(int position, JobResult result) {
+  /** Returns whether a result at a position is possible in this job. */
+  boolean accepts(int position, JobResult result) {
     return position < items.size() && itemsById.containsKey(result.itemId());
   }
 
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/JobAges.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/JobAges.java
@@ -10,11 +10,12 @@
 import java.util.stream.Collectors;
 
 /**
- * For how long this process has known jobs.
+ * Measures for how long this process has known each job.
  *
- * <p>Failure: the clock of the instance that took a job is minutes off, and the holder gives its
- * items up, or drops their results, by the difference. Guard: a job is as old as this process has
- * known it, by its steady clock; after a take-over that is too young, which only keeps jobs longer.
+ * <p>The clock of the instance that accepted a job may be minutes off. If the holder compared its
+ * own clock with that time, it would give up items or delete results too early by the difference.
+ * Therefore the age of a job is the time for which this process has known it, by its steady clock.
+ * After a takeover this age is too low, which only keeps jobs longer.
  */
 final class JobAges {
 
@@ -25,15 +26,19 @@
     this.clock = clock;
   }
 
-  /** Notes the jobs that there are, and forgets all others. */
-  void note(Collection<Job> jobs) {
+  /**
+   * Adds new jobs and removes all jobs that no longer exist.
+   *
+   * @param jobs all jobs that exist
+   */
+  void update(Collection<Job> jobs) {
     Set<String> present = jobs.stream().map(Job::id).collect(Collectors.toSet());
     known.keySet().retainAll(present);
     Instant now = clock.instant();
     present.forEach(id -> known.putIfAbsent(id, now));
   }
 
-  /** Returns whether a job was known for longer than a time. */
+  /** Returns whether this process has known a job for longer than a given time. */
   boolean olderThan(Job job, Duration age) {
     Instant since = known.get(job.id());
     return since != null && clock.instant().isAfter(since.plus(age));
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/JobCall.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/JobCall.java
@@ -5,35 +5,36 @@
 import java.time.Duration;
 import java.util.List;
 
-/** What a caller asks about a job. */
+/** A caller's request about a job. */
 public sealed interface JobCall {
 
   /** Returns the id of the job. */
   String jobId();
 
   /**
-   * Checks the id of a new job, which becomes part of keys.
+   * Checks that the id of a new job can be used in the keys of records.
    *
-   * @throws UnreadableException if it cannot
+   * @throws UnreadableException if the id is empty, too long or holds a character that is not
+   *     allowed
    */
   static void checkId(String place, String id) {
     HttpText.id(place, id, JobRecords.MAX_ID);
   }
 
-  /** Submits a job. */
+  /** Request to accept a new job. */
   record Submit(String jobId, List<JobItem> items) implements JobCall {}
 
   /**
-   * Reads results.
+   * Request for a page of results.
    *
-   * @param after position of the first result that is asked for
-   * @param waitTime time that the call may wait for a result
+   * @param after position of the first requested result
+   * @param waitTime longest time that the request may wait for a result
    */
   record Read(String jobId, int after, Duration waitTime) implements JobCall {}
 
-  /** Reads the body of an item. */
+  /** Request for the body of an item. */
   record ReadBody(String jobId, String itemId) implements JobCall {}
 
-  /** Ends a job. */
+  /** Request to end a job. */
   record End(String jobId) implements JobCall {}
 }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/JobFormat.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/JobFormat.java
@@ -5,23 +5,31 @@
 import java.util.List;
 import java.util.Optional;
 
-/** How callers ask about jobs, and how they are answered. */
+/** Translates between callers' HTTP requests and calls about jobs. */
 public interface JobFormat {
 
   /**
-   * Reads a call.
+   * Parses a request.
    *
-   * @return empty if it is none about a job
-   * @throws UnreadableException if it is one that cannot be read, with the place
+   * @return the call; empty if the request is not about a job
+   * @throws UnreadableException if the request is about a job but cannot be parsed; names the
+   *     faulty part
    */
   Optional<JobCall> call(FrontRequest request);
 
-  /** Returns whether method and path are those of a call about a job that was submitted before. */
+  /**
+   * Returns whether method and path are those of a request about a job that was submitted before.
+   */
   boolean namesJob(FrontRequest request);
 
-  /** Writes a page of results that begins at a position. */
+  /**
+   * Encodes a page of results.
+   *
+   * @param total number of items of the job
+   * @param after position of the first result
+   */
   byte[] results(int total, int after, List<JobResult> results);
 
-  /** Returns the type of {@link #results}. */
+  /** Returns the content type of the pages that {@link #results} encodes. */
   String resultsType();
 }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/JobHolders.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/JobHolders.java
@@ -5,12 +5,12 @@
 import java.util.Optional;
 
 /**
- * Which process holds which partition, as far as this one was told. No I/O.
+ * The holders of the partitions, as far as this process knows them. Performs no I/O.
  *
- * <p>Failure: a notice of a new holder is lost, or an old one comes late. It shows as calls about
- * jobs that go to a process which holds them no more. Guard: the higher epoch counts, and what a
- * call in vain makes doubtful is asked for anew; a wrong holder costs a call, since whoever answers
- * reads the log before it says that there is nothing.
+ * <p>A notice of a new holder may be lost, or an old notice may arrive late. Calls about jobs would
+ * then go to a process that no longer holds their partition. Therefore the notice with the higher
+ * epoch wins, and a holder that does not reply is looked up again. A wrong holder costs one call,
+ * since each process that answers reads the log before it says that a job or result does not exist.
  */
 final class JobHolders {
 
@@ -18,22 +18,25 @@
 
   private final Map<Integer, Holder> holders = new HashMap<>();
 
-  /** Returns the name of the process that holds a partition; empty if it is not known. */
+  /** Returns the name of the process that holds a partition; empty if unknown. */
   Optional<String> find(int partition) {
     return Optional.ofNullable(holders.get(partition)).map(Holder::name);
   }
 
-  /** Takes a holder's own notice. */
-  void held(int partition, String name, long epoch) {
+  /** Records a holder's own notice; ignored if a notice with a higher epoch is known. */
+  void record(int partition, String name, long epoch) {
     Holder known = holders.get(partition);
     if (known == null || known.epoch() <= epoch) {
       holders.put(partition, new Holder(name, epoch));
     }
   }
 
-  /** Takes what the store tells of all partitions; a notice of the same holder keeps its epoch. */
-  void told(Map<Integer, String> owners) {
-    owners.forEach(
+  /**
+   * Updates all partitions with the holders that the store names. If a partition's holder stays the
+   * same, the epoch of its notice is kept.
+   */
+  void update(Map<Integer, String> found) {
+    found.forEach(
         (partition, name) -> {
           Holder known = holders.get(partition);
           if (known == null || !known.name().equals(name)) {
@@ -42,8 +45,8 @@
         });
   }
 
-  /** Forgets a holder that did not answer, unless another one is known by now. */
-  void doubt(int partition, String name) {
+  /** Removes a holder that did not reply, unless another holder is known by now. */
+  void remove(int partition, String name) {
     Holder known = holders.get(partition);
     if (known != null && known.name().equals(name)) {
       holders.remove(partition);
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/JobItem.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/JobItem.java
@@ -8,19 +8,20 @@
 import java.util.Set;
 
 /**
- * One request of a job.
+ * One request of a batch job.
  *
- * @param id id of the item
- * @param path path at the endpoint
+ * @param id id of the item, unique within its job
+ * @param path path of the request at the endpoint
  * @param headers headers of the request
  * @param body body of the request
  */
 public record JobItem(String id, String path, Map<String, String> headers, byte[] body) {
 
   /**
-   * Checks the arguments: callers and whoever writes to the log name them.
+   * Checks the arguments, since callers and other writers to the log choose them.
    *
-   * @throws UnreadableException if they make no request, or no key of a record
+   * @throws UnreadableException if the arguments do not form a valid request or a valid key of a
+   *     record
    */
   public JobItem {
     HttpText.id("Id", id, JobRecords.MAX_ID);
@@ -33,15 +34,16 @@
   }
 
   /**
-   * Returns the items of a job.
+   * Returns the items of a job after a check for duplicate ids.
    *
-   * @throws UnreadableException if two have one id, since each has one result under its id
+   * @throws UnreadableException if two items have the same id, since an item's result is stored
+   *     under its id
    */
   public static List<JobItem> checked(List<JobItem> items) {
     Set<String> ids = new HashSet<>();
     for (JobItem item : items) {
       if (!ids.add(item.id())) {
-        throw new UnreadableException("Id", "twice in one job");
+        throw new UnreadableException("Id", "occurs twice in one job");
       }
     }
     return items;
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/JobParts.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/JobParts.java
@@ -13,20 +13,20 @@
 import java.util.concurrent.ScheduledExecutorService;
 
 /**
- * What running jobs needs.
+ * Collaborators and settings of the classes that run jobs.
  *
  * @param config configuration in force
- * @param directory endpoints
- * @param slots hands out slots
+ * @param directory known endpoints
+ * @param slots client that acquires slots
  * @param pool connections to endpoints
  * @param names names of headers
- * @param store the log
+ * @param store log in which jobs are stored
  * @param resultRetention time for which results stay readable after a job was accepted
- * @param dataCentre where this process stands
- * @param executor the event loop
- * @param clock time
- * @param log decisions
- * @param metrics figures
+ * @param dataCentre data centre of this process
+ * @param executor event loop on which all of these classes run
+ * @param clock source of the current time
+ * @param log log of decisions
+ * @param metrics metrics of this process
  */
 public record JobParts(
     ConfigHolder config,
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/JobPeers.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/JobPeers.java
@@ -6,28 +6,31 @@
 import java.util.Optional;
 import java.util.concurrent.CompletionStage;
 
-/** The other processes, as far as calls about jobs are concerned. */
+/** The other processes of the fleet, as recipients of calls about jobs. */
 public interface JobPeers {
 
   /** Returns the name of this process. */
   String self();
 
-  /** Returns the number of processes of the fleet, this one among them. */
+  /** Returns the number of processes of the fleet, including this one. */
   int instances();
 
-  /** Returns whether a process is known and does not seem silent. */
+  /** Returns whether a process is known and is not suspected of being silent. */
   boolean reachable(String name);
 
   /**
-   * Returns the process that stands in for the holder of a partition while it does not answer:
-   * every process names the same one, which loads the partition for all. Empty if there is none.
+   * Returns the standby of a partition: the process that answers calls about the partition's jobs
+   * while its holder does not respond.
+   *
+   * <p>All processes choose the same standby, so that only one process loads the partition. The
+   * result is empty if there is no standby.
    */
-  Optional<String> deputy(int partition, String holder);
+  Optional<String> standby(int partition, String holder);
 
   /**
-   * Has a process answer a caller's request from the jobs that it has read.
+   * Forwards a caller's request to a process, which answers from the jobs that it has read.
    *
-   * @param patience time within which its answer must be there, or else the stage fails
+   * @param timeout time after which the stage fails if no reply has arrived
    */
-  CompletionStage<HttpReply> ask(String name, FrontRequest request, Duration patience);
+  CompletionStage<HttpReply> forward(String name, FrontRequest request, Duration timeout);
 }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/JobRecords.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/JobRecords.java
@@ -16,16 +16,17 @@
 import org.msgpack.core.MessagePack;
 
 /**
- * Records of jobs in the log, by key.
+ * Keys and values of the records that store jobs in the log.
  *
- * <p>A job that does not fit one record is written in parts; it counts once all are there.
+ * <p>An accepted job that does not fit one record is written in parts. The job counts as accepted
+ * once all parts are there.
  */
 final class JobRecords {
 
-  /** Bytes of a part of an accepted job; records of the log hold 256 KiB. */
+  /** Maximum bytes of one part of an accepted job; a record of the log holds 256 KiB. */
   static final int PART_BYTES = 200 * 1024;
 
-  /** Digits to which the event in the key of what an item has gained is padded. */
+  /** Number of digits to which the event number in the key of a progress record is padded. */
   private static final int EVENT_DIGITS = 8;
 
   private static final char SEPARATOR = '/';
@@ -34,17 +35,23 @@
   private static final String END = "e";
   private static final String PROGRESS = "g";
 
-  /** Progress as former versions wrote it: it does not say what it extends, so nothing joins it. */
+  /**
+   * Key kind of progress records of former versions. Such a record does not name the record that it
+   * extends, so it is never joined with others.
+   */
   private static final String FORMER_PROGRESS = "p";
 
   private static final String FAILURES = "n";
 
-  /** Counts as former versions wrote them: one key for those of all holders. */
+  /**
+   * Key kind of failure counts of former versions, which used one key for the counts of all
+   * holders.
+   */
   private static final String FORMER_FAILURES = "f";
 
   private static final String OFFER = "o";
 
-  /** Fields of a key of each kind. */
+  /** Number of fields in a key of each kind. */
   private static final Map<String, Integer> FIELDS =
       Map.ofEntries(
           Map.entry(PART, 3),
@@ -56,37 +63,43 @@
           Map.entry(FORMER_FAILURES, 3),
           Map.entry(OFFER, 3));
 
-  /** Longest id of a job or an item; keys of the log hold 255 bytes, with two ids and a place. */
+  /**
+   * Maximum length of the id of a job or an item. A key of the log holds 255 bytes and may contain
+   * two ids and a point in the output.
+   */
   static final int MAX_ID = 100;
 
-  /** Digits of a part's number or a result's position. */
+  /** Maximum digits of a part's number or a result's position. */
   private static final int MAX_DIGITS = 6;
 
-  /** Parts of a job at most; a call to the log holds 2 MiB, callers may send 4 MiB. */
+  /**
+   * Maximum number of parts of a job; a call to the log holds 2 MiB, and callers may send 4 MiB.
+   */
   private static final int MAX_PARTS = 1_000;
 
-  /** Failed runs of an item at most; it is given up after a few. */
+  /** Highest valid number of failed attempts at an item; an item is given up after a few. */
   private static final int MAX_FAILURES = 10_000;
 
-  /** Digits of an event's number or an epoch. */
+  /** Maximum digits of an event number or an epoch. */
   private static final int MAX_LONG_DIGITS = 18;
 
-  /** Highest number of an event, and highest epoch. */
+  /** Highest valid event number and epoch. */
   private static final long MAX_LONG = 999_999_999_999_999_999L;
 
   private static final byte ENDED = 1;
 
-  /** Latest time at which a job may have been accepted: the end of the year 9999. */
+  /** Latest valid time of acceptance: the end of the year 9999. */
   private static final long MAX_MILLIS = 253_402_300_799_999L;
 
   private JobRecords() {}
 
   /**
-   * What the key of a record says.
+   * Parsed key of a record.
    *
-   * @param itemId item that it is about; empty if it is about the job
-   * @param number number of a part, or position of a result; 0 for all others
-   * @param start place at which what an item has gained begins; the start of all for all others
+   * @param itemId id of the record's item; empty if the record is about the whole job
+   * @param number number of a part or position of a result; 0 for all other kinds
+   * @param start point at which a progress record begins; {@link ProgressLink#START} for all other
+   *     kinds
    */
   record Key(String kind, String jobId, String itemId, int number, ProgressLink start) {
 
@@ -116,41 +129,45 @@
   }
 
   /**
-   * Text that an item has gained.
+   * Progress record: text that an item has produced between two points.
    *
-   * @param after place at which the text that it extends ends
-   * @param upTo place at which it ends, with the epoch of its writer
+   * @param after end of the text that this record extends
+   * @param upTo end of this record's text, with the epoch of its writer
    */
-  record Gained(String itemId, ProgressLink after, ProgressLink upTo, String text) {
+  record Progress(String itemId, ProgressLink after, ProgressLink upTo, String text) {
 
-    /** Returns the place at which it begins, with the epoch of its writer. */
+    /** Returns the point at which the text begins, with the epoch of its writer. */
     ProgressLink start() {
       return new ProgressLink(after.eventId(), upTo.epoch());
     }
   }
 
-  /** Number of runs of an item that an endpoint ended with a failure of its own. */
+  /** Number of attempts at an item that endpoints have ended with status 500. */
   record Failures(String itemId, int count) {}
 
-  /** A part of an accepted job. */
+  /**
+   * Part of an accepted job.
+   *
+   * @param count number of parts of the job
+   */
   record Part(int count, byte[] bytes) {}
 
   /**
-   * Returns what a key says.
+   * Parses a key.
    *
-   * @throws UnreadableException if it is none of ours
+   * @throws UnreadableException if the key is not that of a job record
    */
   static Key key(String text) {
     String[] fields = text.split(String.valueOf(SEPARATOR), -1);
     Integer expected = FIELDS.get(fields[0]);
     if (expected == null || fields.length != expected) {
-      throw new UnreadableException("key", "not the key of a record of jobs");
+      throw new UnreadableException("key", "not the key of a job record");
     }
     String jobId = HttpText.id("key", fields[1], MAX_ID);
     boolean numbered = fields[0].equals(PART) || fields[0].equals(RESULT);
     int number = numbered ? (int) number(fields[2], MAX_DIGITS) : 0;
-    boolean ofItem = !numbered && expected > 2;
-    String itemId = ofItem ? HttpText.id("key", fields[2], MAX_ID) : "";
+    boolean hasItem = !numbered && expected > 2;
+    String itemId = hasItem ? HttpText.id("key", fields[2], MAX_ID) : "";
     if (fields[0].equals(FAILURES)) {
       number(fields[3], MAX_LONG_DIGITS);
     }
@@ -161,38 +178,47 @@
   private static ProgressLink start(String[] fields) {
     long event = number(fields[3], MAX_LONG_DIGITS);
     long epoch = number(fields[4], MAX_LONG_DIGITS);
-    if (!fields[3].equals(padded(event)) || !fields[4].equals(String.valueOf(epoch))) {
-      throw new UnreadableException("key", "a number in another form");
+    if (!fields[3].equals(pad(event)) || !fields[4].equals(String.valueOf(epoch))) {
+      throw new UnreadableException("key", "number is not in its canonical form");
     }
     return new ProgressLink(event - 1, epoch);
   }
 
-  /** Returns the job that a key is about; empty if it is none of ours, which its reader tells. */
+  /**
+   * Returns the id of the job in a key; empty if the key is not that of a job record. Such a key is
+   * reported when its record is applied.
+   */
   static Optional<String> jobId(String key) {
     String[] fields = key.split(String.valueOf(SEPARATOR), -1);
-    boolean ours = FIELDS.containsKey(fields[0]) && fields.length > 1;
-    return ours ? Optional.of(fields[1]) : Optional.empty();
+    boolean jobRecord = FIELDS.containsKey(fields[0]) && fields.length > 1;
+    return jobRecord ? Optional.of(fields[1]) : Optional.empty();
   }
 
-  private static long number(String text, int mostDigits) {
+  private static long number(String text, int maxDigits) {
     boolean digits = text.chars().allMatch(each -> each >= '0' && each <= '9');
-    if (text.isEmpty() || !digits || text.length() > mostDigits) {
-      throw new UnreadableException("key", "no number");
+    if (text.isEmpty() || !digits || text.length() > maxDigits) {
+      throw new UnreadableException("key", "not a number, or too long");
     }
     return Long.parseLong(text);
   }
 
-  /** Returns whether a key is that of a record which the result of an item makes needless. */
+  /**
+   * Returns whether a key is that of a progress record or an offered result of an item, which are
+   * needed only until the item has a result.
+   */
   static boolean neededUntilResult(String key, String itemId) {
     String[] fields = key.split(String.valueOf(SEPARATOR));
-    boolean ofUnfinished = List.of(PROGRESS, FORMER_PROGRESS, OFFER).contains(fields[0]);
-    return ofUnfinished && fields.length > 2 && fields[2].equals(itemId);
+    boolean unfinishedOnly = List.of(PROGRESS, FORMER_PROGRESS, OFFER).contains(fields[0]);
+    return unfinishedOnly && fields.length > 2 && fields[2].equals(itemId);
   }
 
-  /** Returns a result without a position, for the holder of the partition to list. */
+  /**
+   * Returns the record of an offered result: one without a position, which the holder of the
+   * partition lists.
+   */
   static KeyedRecord offer(String jobId, JobResult result) {
     String key = String.join(String.valueOf(SEPARATOR), OFFER, jobId, result.itemId());
-    return new KeyedRecord(key, packed(result));
+    return new KeyedRecord(key, pack(result));
   }
 
   static KeyedRecord end(String jobId) {
@@ -204,7 +230,7 @@
   }
 
   static KeyedRecord result(String jobId, int position, JobResult result) {
-    return new KeyedRecord(resultKey(jobId, position), packed(result));
+    return new KeyedRecord(resultKey(jobId, position), pack(result));
   }
 
   static JobResult result(byte[] value) {
@@ -218,41 +244,41 @@
         });
   }
 
-  /** Checks that a value says that a job has ended. */
+  /** Checks that a value marks the end of a job. */
   static void checkEnd(byte[] value) {
     if (value.length != 1 || value[0] != ENDED) {
-      throw new UnreadableException("end", "not the end of a job");
+      throw new UnreadableException("end", "value does not mark the end of a job");
     }
   }
 
-  /** Checks that a value is about the item that its key names. */
+  /** Checks that a value is about the item in its key. */
   static void checkItem(Key key, String itemId) {
     if (!key.itemId().equals(itemId)) {
-      throw new UnreadableException("item", "another one than in the key");
+      throw new UnreadableException("item", "differs from the item in the key");
     }
   }
 
-  /** Checks that a value is about the item, and begins at the place, that its key names. */
-  static void checkStart(Key key, Gained gained) {
-    checkItem(key, gained.itemId());
-    if (!key.start().equals(gained.start())) {
-      throw new UnreadableException("progress", "of another place than in the key");
+  /** Checks that a progress record is about the item, and begins at the point, in its key. */
+  static void checkStart(Key key, Progress progress) {
+    checkItem(key, progress.itemId());
+    if (!key.start().equals(progress.start())) {
+      throw new UnreadableException("progress", "begins at another point than the key names");
     }
   }
 
-  static KeyedRecord gained(String jobId, Gained gained) {
+  static KeyedRecord progress(String jobId, Progress progress) {
     try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
-      packer.packString(gained.itemId());
-      packer.packLong(gained.after().eventId()).packLong(gained.after().epoch());
-      packer.packLong(gained.upTo().eventId()).packLong(gained.upTo().epoch());
-      packer.packString(gained.text());
-      return new KeyedRecord(gainedKey(jobId, gained), packer.toByteArray());
+      packer.packString(progress.itemId());
+      packer.packLong(progress.after().eventId()).packLong(progress.after().epoch());
+      packer.packLong(progress.upTo().eventId()).packLong(progress.upTo().epoch());
+      packer.packString(progress.text());
+      return new KeyedRecord(progressKey(jobId, progress), packer.toByteArray());
     } catch (IOException e) {
       throw new UncheckedIOException("A buffer in memory failed", e);
     }
   }
 
-  static Gained gained(byte[] value) {
+  static Progress progress(byte[] value) {
     return MessageReader.read(
         "progress",
         value,
@@ -261,18 +287,19 @@
           ProgressLink after = after(reader);
           long upTo = reader.number("upTo", after.eventId() + 1, MAX_LONG - 1);
           long epoch = reader.number("epoch", 0L, MAX_LONG);
-          return new Gained(itemId, after, new ProgressLink(upTo, epoch), reader.text());
+          return new Progress(itemId, after, new ProgressLink(upTo, epoch), reader.text());
         });
   }
 
-  private static String gainedKey(String jobId, Gained gained) {
-    // Padded, so that the records of an item come in their order when they are listed by key.
-    String place = padded(gained.start().eventId() + 1);
-    String epoch = String.valueOf(gained.start().epoch());
-    return String.join(String.valueOf(SEPARATOR), PROGRESS, jobId, gained.itemId(), place, epoch);
+  private static String progressKey(String jobId, Progress progress) {
+    // The number is padded, so that the records of an item sort in their order when they are listed
+    // by key.
+    String start = pad(progress.start().eventId() + 1);
+    String epoch = String.valueOf(progress.start().epoch());
+    return String.join(String.valueOf(SEPARATOR), PROGRESS, jobId, progress.itemId(), start, epoch);
   }
 
-  private static String padded(long event) {
+  private static String pad(long event) {
     String number = String.valueOf(event);
     return "0".repeat(Math.max(0, EVENT_DIGITS - number.length())) + number;
   }
@@ -281,12 +308,16 @@
     long event = reader.number("after", -1L, MAX_LONG - 1);
     long epoch = reader.number("extended epoch", -1L, MAX_LONG);
     if (event < 0 != epoch < 0) {
-      throw new UnreadableException("after", "an event of no holder, or the reverse");
+      throw new UnreadableException(
+          "after", "event without the epoch of its holder, or an epoch without an event");
     }
     return new ProgressLink(event, epoch);
   }
 
-  /** Returns a record that replaces no other holder's, since a late one may hold a lower count. */
+  /**
+   * Returns the record of a failure count. Its key contains the holder's epoch, so that a late
+   * record of a former holder, which may hold a lower count, does not replace it.
+   */
   static KeyedRecord failures(String jobId, Failures failures, long epoch) {
     String holder = String.valueOf(epoch);
     String key = String.join(String.valueOf(SEPARATOR), FAILURES, jobId, failures.itemId(), holder);
@@ -380,7 +411,7 @@
     return new JobItem(id, path, headers, reader.bytes());
   }
 
-  private static byte[] packed(JobResult result) {
+  private static byte[] pack(JobResult result) {
     try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
       packer.packString(result.itemId());
       packer.packBoolean(result.completed());
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/JobReplica.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/JobReplica.java
@@ -14,15 +14,16 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The jobs of one partition as this process has read them.
+ * Replica of the jobs of one partition, as far as this process has read the log.
  *
- * <p>What it holds was written, so results in it may be shown at any time. That a job is missing
- * means something only after {@link #refresh} has read to the end of the log.
+ * <p>The replica contains only what was written, so its results may be returned at any time. Only
+ * after {@link #refresh} has read to the end of the log does a missing job mean that the job does
+ * not exist.
  *
- * <p>Failure: the store forgets its history, and the list that is loaded instead is older than what
- * this process wrote meanwhile. It would show as a result whose position is given out again. Guard:
- * a list is merged into what is known, and takes away only jobs that were known before it was asked
- * for.
+ * <p>The store may lose its history, and the list of newest records that is loaded instead may be
+ * older than what this process has written since. If the list replaced the replica, the position of
+ * a result could be assigned a second time. Therefore a list is merged into the known jobs. It
+ * removes only jobs that were known before the list was requested.
  */
 final class JobReplica {
 
@@ -31,19 +32,20 @@
   private final int partition;
   private final Executor executor;
   private final JobTable table = new JobTable();
-  private final LoadGate gate;
+  private final LoadLimiter loadLimiter;
   private long offset = -1;
   private long readsBegun;
-  private long lastProof;
+  private long lastCaughtUpRead;
   private boolean followed;
   private boolean awaited;
   private CompletableFuture<Void> nextRead = new CompletableFuture<>();
   private @Nullable CompletableFuture<Void> loading;
   private @Nullable Listing unfinished;
 
-  JobReplica(LogStore store, String topic, int partition, LoadGate gate, Executor executor) {
+  JobReplica(
+      LogStore store, String topic, int partition, LoadLimiter loadLimiter, Executor executor) {
     this.store = store;
-    this.gate = gate;
+    this.loadLimiter = loadLimiter;
     this.topic = topic;
     this.partition = partition;
     this.executor = executor;
@@ -53,46 +55,54 @@
     return table;
   }
 
-  /** Takes a record that this process has written. */
-  void take(KeyedRecord record) {
-    table.take(record);
+  /** Applies a record that this process has written. */
+  void apply(KeyedRecord record) {
+    table.apply(record);
   }
 
   /**
-   * Reads on to the end that the log has when this is called, or a later one; the stage fails if
-   * the store cannot be asked.
+   * Reads up to the end that the log has at the time of the call, or a later one. The stage fails
+   * if the store cannot be reached.
    */
   CompletionStage<Void> refresh() {
     return read(Duration.ZERO);
   }
 
-  /** Reads on to the end of the log; at the end it waits for a record. */
+  /**
+   * Reads up to the end of the log, and waits there for a new record for at most the given time.
+   */
   CompletionStage<Void> read(Duration wait) {
-    // A list that is being loaded began before this call, so the log is read behind it.
-    return loaded().thenComposeAsync(any -> readOn(wait), executor);
+    // A load in progress began before this call, so the log is read on after the load.
+    return loaded().thenComposeAsync(any -> readToEnd(wait), executor);
   }
 
-  /** Sets whether the holder of the partition reads on all the time. */
+  /** Sets whether the holder of the partition reads the log continuously. */
   void followed(boolean reading) {
     followed = reading;
   }
 
-  /** Returns whether reads go on by themselves, so that {@link #nextRead()} ends soon. */
+  /** Returns whether the log is read continuously, so that {@link #nextRead()} completes soon. */
   boolean followed() {
     return followed;
   }
 
-  /** Returns the number of reads that have begun, for {@link #provenSince}. */
+  /** Returns the number of reads that have begun, as an argument of {@link #caughtUpSince}. */
   long readsBegun() {
     return readsBegun;
   }
 
-  /** Returns whether a read that began after a number of others has reached the end of the log. */
-  boolean provenSince(long begun) {
-    return lastProof > begun;
+  /**
+   * Returns whether a read that began later than the given number of reads has reached the end of
+   * the log.
+   */
+  boolean caughtUpSince(long readsBefore) {
+    return lastCaughtUpRead > readsBefore;
   }
 
-  /** Returns a stage that ends with the next read that brings something or reaches the end. */
+  /**
+   * Returns a stage that completes with the next read that brings records or reaches the end of the
+   * log.
+   */
   CompletionStage<Void> nextRead() {
     awaited = true;
     return nextRead;
@@ -103,7 +113,7 @@
     return awaited;
   }
 
-  private CompletionStage<Void> readOn(Duration wait) {
+  private CompletionStage<Void> readToEnd(Duration wait) {
     readsBegun++;
     awaited = false;
     long number = readsBegun;
@@ -113,22 +123,22 @@
   private CompletionStage<Void> readPage(Duration wait, long number) {
     return store
         .read(topic, partition, offset, wait)
-        .thenComposeAsync(page -> takePage(page, number), executor);
+        .thenComposeAsync(page -> applyPage(page, number), executor);
   }
 
-  private CompletionStage<Void> takePage(LogPage page, long number) {
+  private CompletionStage<Void> applyPage(LogPage page, long number) {
     if (page.trimmed()) {
       return load().thenComposeAsync(any -> readPage(Duration.ZERO, number), executor);
     }
-    page.records().forEach(table::take);
+    page.records().forEach(table::apply);
     offset = Math.max(offset, page.next());
     if (page.more()) {
       return readPage(Duration.ZERO, number);
     }
-    lastProof = Math.max(lastProof, number);
-    CompletableFuture<Void> ended = nextRead;
+    lastCaughtUpRead = Math.max(lastCaughtUpRead, number);
+    CompletableFuture<Void> finished = nextRead;
     nextRead = new CompletableFuture<>();
-    ended.complete(null);
+    finished.complete(null);
     return CompletableFuture.completedFuture(null);
   }
 
@@ -136,7 +146,7 @@
     return offset < 0 || loading != null ? load() : CompletableFuture.completedFuture(null);
   }
 
-  /** Loads the list of newest records; callers that come meanwhile share one load. */
+  /** Loads the list of newest records; concurrent callers share one load. */
   private CompletionStage<Void> load() {
     CompletableFuture<Void> running = loading;
     if (running != null) {
@@ -144,32 +154,33 @@
     }
     CompletableFuture<Void> started = new CompletableFuture<>();
     loading = started;
-    gate.enter(() -> loadPage(begunOrNew(), started));
+    loadLimiter.enter(() -> loadPage(resumedOrNew(), started));
     return started;
   }
 
   /**
-   * What a load has found so far.
+   * State of a load.
    *
-   * @param knownBefore jobs that were known before it began
-   * @param listed jobs that it has found
-   * @param end end of the log when it began; negative before the first page
-   * @param after key behind which it goes on; null for the first page
+   * @param knownBefore ids of the jobs that were known before the load began
+   * @param listed ids of the jobs found so far
+   * @param end end of the log when the load began; negative before the first page
+   * @param after key after which the load continues; null for the first page
    */
   private record Listing(
       Set<String> knownBefore, Set<String> listed, long end, @Nullable String after) {}
 
   /**
-   * Returns where a load goes on.
+   * Returns the state from which a load continues.
    *
-   * <p>Failure: a page does not come in time on a small link, and the next load begins with the
-   * first page again. It shows as a partition that is never loaded while its jobs cannot be read.
-   * Guard: a load goes on behind the last page that came. What changed meanwhile is read from the
-   * log behind the end that the first page named; if that part is gone the load begins anew.
+   * <p>On a slow link a page may miss its timeout. If the next load began with the first page
+   * again, the partition might never be loaded, and its jobs could not be read meanwhile. Therefore
+   * a load continues after the last page that arrived. Changes made meanwhile are read from the
+   * log, from the end that the first page named; if the store has trimmed that part of the log, the
+   * load begins again.
    */
-  private Listing begunOrNew() {
-    Listing begun = unfinished;
-    return begun != null ? begun : new Listing(table.jobIds(), new HashSet<>(), -1, null);
+  private Listing resumedOrNew() {
+    Listing resumed = unfinished;
+    return resumed != null ? resumed : new Listing(table.jobIds(), new HashSet<>(), -1, null);
   }
 
   private void loadPage(Listing listing, CompletableFuture<Void> done) {
@@ -182,16 +193,16 @@
                 endLoad();
                 done.completeExceptionally(failure);
               } else {
-                takeList(listing, page, done);
+                applyList(listing, page, done);
               }
             },
             executor);
   }
 
-  private void takeList(Listing listing, KeyedPage page, CompletableFuture<Void> done) {
+  private void applyList(Listing listing, KeyedPage page, CompletableFuture<Void> done) {
     List<KeyedRecord> records = page.records();
     for (KeyedRecord record : records) {
-      table.take(record);
+      table.apply(record);
       JobRecords.jobId(record.key()).ifPresent(listing.listed()::add);
     }
     long end = listing.end() < 0 ? page.end() : listing.end();
@@ -211,6 +222,6 @@
 
   private void endLoad() {
     loading = null;
-    gate.leave();
+    loadLimiter.leave();
   }
 }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/JobReplicas.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/JobReplicas.java
@@ -8,16 +8,16 @@
 import java.util.concurrent.Executor;
 import java.util.function.BiConsumer;
 
-/** Finds the partition of a job, and the replica of a partition. */
+/** Maps jobs to partitions, and keeps this process's replicas of partitions. */
 final class JobReplicas {
 
-  /** Keyed topic of all jobs. */
+  /** Keyed topic that contains the records of all jobs. */
   static final String TOPIC = "keyed.jobs";
 
   private final LogStore store;
   private final int partitions;
   private final Executor executor;
-  private final LoadGate gate = new LoadGate();
+  private final LoadLimiter loadLimiter = new LoadLimiter();
   private final Map<Integer, JobReplica> replicas = new HashMap<>();
   private BiConsumer<String, UnreadableException> unreadable = (key, cause) -> {};
 
@@ -33,26 +33,26 @@
   }
 
   JobReplica replica(int partition) {
-    return replicas.computeIfAbsent(partition, this::created);
+    return replicas.computeIfAbsent(partition, this::create);
   }
 
-  /** Calls a listener with the key of each record that cannot be read, and what is wrong. */
+  /** Sets the listener for records that cannot be decoded; receives the key and the cause. */
   void onUnreadable(BiConsumer<String, UnreadableException> listener) {
     unreadable = listener;
   }
 
-  private JobReplica created(int partition) {
-    JobReplica replica = new JobReplica(store, TOPIC, partition, gate, executor);
+  private JobReplica create(int partition) {
+    JobReplica replica = new JobReplica(store, TOPIC, partition, loadLimiter, executor);
     replica.table().onUnreadable((key, cause) -> unreadable.accept(key, cause));
     return replica;
   }
 
-  /** Forgets what was read of a partition, if anything was. */
+  /** Discards what was read of a partition, if anything was. */
   void forget(int partition) {
     replicas.remove(partition);
   }
 
-  /** Returns the bytes that are known of a partition. */
+  /** Returns the number of bytes that this process has read of a partition. */
   long bytes(int partition) {
     JobReplica replica = replicas.get(partition);
     return replica == null ? 0 : replica.table().bytes();
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/JobDesk.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/JobRequestRouter.java
@@ -25,71 +25,76 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Takes callers' requests about jobs and has the holder of the job's partition answer them.
+ * Routes callers' requests about jobs to the holder of the job's partition, which answers them.
  *
- * <p>Load pattern: after all instances lost power, callers read their jobs at every one of them. If
- * each loads the partitions it is asked for, through one store and over slow links, no job can be
- * read anywhere for a minute. A holder has read its partition anyway, and asking it takes one
- * message there and back.
+ * <p>After all instances lost power, callers read their jobs at every instance. If each process
+ * loaded the partitions of all jobs that it is asked about, through one store and over slow links,
+ * no job could be read anywhere for a minute. The holder has read its partition anyway, and
+ * forwarding a call to the holder costs one message in each direction.
  *
- * <p>Failure: the holder is frozen, cut off or restarting. It shows as a call without an answer.
- * Guard: the call goes to the partition's deputy, the same for all processes, and at last is
- * answered here; whoever answers reads the log before it says that there is nothing.
+ * <p>The holder may be frozen, cut off or restarting, so that a forwarded call gets no reply. Then
+ * the call goes to the partition's standby, which is the same for all processes. If the standby
+ * does not reply either, this process answers the call itself. Each of these processes reads the
+ * log before it says that a job or result does not exist.
  */
-public final class JobDesk implements JobRequestHandler {
+public final class JobRequestRouter implements JobRequestHandler {
 
-  /** Header by which whoever answers a peer tells how large the partition is. */
+  /**
+   * Header with the size of the partition in bytes, set by a process that answers a forwarded call.
+   */
   public static final String PARTITION_BYTES = "hawthornlb-partition-bytes";
 
   /**
-   * Added to the time that a call may wait by itself: the holder may have to ask the store first,
-   * and may be busy.
+   * Time allowed for a reply in addition to the call's own wait time, since the holder may have to
+   * read the store first and may be busy.
    */
-  private static final Duration ANSWER_TIME = Duration.ofMillis(1_000);
+  private static final Duration REPLY_TIMEOUT = Duration.ofMillis(1_000);
 
-  /** The same for the end of a job, which the holder may have to append in several tries. */
-  private static final Duration END_TIME = Duration.ofMillis(3_300);
+  /**
+   * The same for a request to end a job, which the holder may have to append in several attempts.
+   */
+  private static final Duration END_REPLY_TIMEOUT = Duration.ofMillis(3_300);
 
-  /** Pause between two questions to the store for the holders. */
-  private static final Duration OWNERS_PAUSE = Duration.ofMillis(300);
+  /** Minimum time between two lookups of the holders in the store. */
+  private static final Duration LOOKUP_PAUSE = Duration.ofMillis(300);
 
   /**
-   * Time that a call waits for a holder if it may not wait for something else; processes that start
-   * join within it.
+   * Minimum time for which a call waits until a holder is known, if the call itself allows no
+   * longer wait. Processes that start join the group within this time.
    */
-  private static final Duration HOLDER_TIME = Duration.ofMillis(1_000);
+  private static final Duration HOLDER_WAIT = Duration.ofMillis(1_000);
 
-  /** When to come back while no holder is known. */
+  /** Retry delay that is sent to the caller while no holder is known. */
   private static final Duration NO_HOLDER_RETRY = Duration.ofMillis(400);
 
   private final JobReplicas replicas;
   private final JobService service;
   private final JobFormat format;
   private final JobHolders holders = new JobHolders();
-  private final ReplicaRule rule = new ReplicaRule();
+  private final ReplicaRule replicaRule = new ReplicaRule();
   private final JobPeers peers;
   private final IntPredicate heldHere;
-  private final OwnersQuestion owners;
+  private final HolderLookup holderLookup;
   private final ScheduledExecutorService executor;
   private final InstantSource clock;
   private final EventLog log;
-  private @Nullable CompletableFuture<Void> asking;
-  private Instant askedOwners = Instant.MIN;
+  private @Nullable CompletableFuture<Void> lookup;
+  private Instant lookedUpAt = Instant.MIN;
 
-  /** Asks the store who holds the partitions. */
-  interface OwnersQuestion {
+  /** Looks up the holders of the partitions in the store. */
+  interface HolderLookup {
 
-    /** Returns the holders of all partitions. */
-    CompletionStage<Map<Integer, String>> ask();
+    /** Returns the holder of each partition. */
+    CompletionStage<Map<Integer, String>> lookUp();
   }
 
-  JobDesk(
+  JobRequestRouter(
       JobReplicas replicas,
       JobService service,
       JobFormat format,
       JobPeers peers,
       IntPredicate heldHere,
-      OwnersQuestion owners,
+      HolderLookup holderLookup,
       ScheduledExecutorService executor,
       InstantSource clock,
       EventLog log) {
@@ -98,15 +103,15 @@
     this.format = format;
     this.peers = peers;
     this.heldHere = heldHere;
-    this.owners = owners;
+    this.holderLookup = holderLookup;
     this.executor = executor;
     this.clock = clock;
     this.log = log;
   }
 
-  /** Takes that a process holds a partition. */
-  void held(String name, int partition, long epoch) {
-    holders.held(partition, name, epoch);
+  /** Records that a process holds a partition under an epoch. */
+  void onHeld(String name, int partition, long epoch) {
+    holders.record(partition, name, epoch);
   }
 
   @Override
@@ -116,22 +121,22 @@
 
   @Override
   public Handling handle(FrontRequest request, Responder responder) {
-    read(request, responder).ifPresent(call -> route(call, request, responder));
+    parse(request, responder).ifPresent(call -> route(call, request, responder));
     return () -> {};
   }
 
   /**
-   * Answers a request that a peer has passed on, from what this process reads itself.
+   * Answers a request that a peer has forwarded, from the jobs that this process reads itself.
    *
-   * @return tells how many bytes of the partition this process has read
+   * @return supplier of the number of bytes that this process has read of the partition
    */
-  public LongSupplier answerHere(FrontRequest request, Responder responder) {
-    Optional<JobCall> call = read(request, responder);
+  public LongSupplier answerLocally(FrontRequest request, Responder responder) {
+    Optional<JobCall> call = parse(request, responder);
     call.ifPresent(known -> service.answer(known, request, responder));
     return () -> call.map(known -> replicas.bytes(replicas.partition(known.jobId()))).orElse(0L);
   }
 
-  private Optional<JobCall> read(FrontRequest request, Responder responder) {
+  private Optional<JobCall> parse(FrontRequest request, Responder responder) {
     Optional<JobCall> call;
     try {
       call = format.call(request);
@@ -148,27 +153,30 @@
 
   private void route(JobCall call, FrontRequest request, Responder responder) {
     int partition = replicas.partition(call.jobId());
-    if (call instanceof JobCall.Submit || heldHere.test(partition) || readsHere(partition)) {
+    if (call instanceof JobCall.Submit || heldHere.test(partition) || readsLocally(partition)) {
       service.answer(call, request, responder);
     } else {
-      new Question(call, partition, request, responder).start();
+      new RoutedCall(call, partition, request, responder).start();
     }
   }
 
-  /** Takes that this process holds a partition no longer. */
+  /** Called when this process no longer holds a partition. */
   void released(int partition) {
     keepIfSmall(partition);
   }
 
-  /** Returns whether this process reads a partition itself, which it does not hold. */
-  private boolean readsHere(int partition) {
-    return rule.readsHere(partition, peers.instances()) && keepIfSmall(partition);
+  /** Returns whether this process itself reads a partition that it does not hold. */
+  private boolean readsLocally(int partition) {
+    return replicaRule.readsLocally(partition, peers.instances()) && keepIfSmall(partition);
   }
 
-  /** Forgets what was read of a partition that has grown too large; returns whether it is small. */
+  /**
+   * Discards what this process has read of a partition if the partition has grown too large;
+   * returns whether the partition is small enough to keep.
+   */
   private boolean keepIfSmall(int partition) {
-    rule.told(partition, replicas.bytes(partition));
-    boolean small = rule.readsHere(partition, peers.instances());
+    replicaRule.recordSize(partition, replicas.bytes(partition));
+    boolean small = replicaRule.readsLocally(partition, peers.instances());
     if (!small) {
       replicas.forget(partition);
       log.important("job", "partition.grown").with("partition", partition).write();
@@ -176,38 +184,41 @@
     return small;
   }
 
-  /** Asks the store for the holders; calls that come meanwhile share one question. */
-  private CompletableFuture<Void> learnHolders() {
-    CompletableFuture<Void> running = asking;
+  /** Looks up the holders in the store; concurrent calls share one lookup. */
+  private CompletableFuture<Void> lookUpHolders() {
+    CompletableFuture<Void> running = lookup;
     if (running != null) {
       return running;
     }
     Instant now = clock.instant();
-    if (now.isBefore(askedOwners.plus(OWNERS_PAUSE))) {
+    if (now.isBefore(lookedUpAt.plus(LOOKUP_PAUSE))) {
       return CompletableFuture.completedFuture(null);
     }
-    askedOwners = now;
-    CompletableFuture<Void> learned = new CompletableFuture<>();
-    asking = learned;
-    owners
-        .ask()
+    lookedUpAt = now;
+    CompletableFuture<Void> started = new CompletableFuture<>();
+    lookup = started;
+    holderLookup
+        .lookUp()
         .whenCompleteAsync(
-            (told, failure) -> {
-              asking = null;
+            (found, failure) -> {
+              lookup = null;
               if (failure == null) {
-                holders.told(told);
-                log.routine("job", "holders.told").with("holders", told.toString()).write();
+                holders.update(found);
+                log.routine("job", "holders.told").with("holders", found.toString()).write();
               } else {
                 log.important("job", "holders.unknown").with("cause", failure.toString()).write();
               }
-              learned.complete(null);
+              started.complete(null);
             },
             executor);
-    return learned;
+    return started;
   }
 
-  /** A call on its way: to the holder, then to the deputy, then to this process itself. */
-  private final class Question {
+  /**
+   * A call that is forwarded to the holder, then to the standby, and at last answered by this
+   * process.
+   */
+  private final class RoutedCall {
 
     private final JobCall call;
     private final int partition;
@@ -215,7 +226,7 @@
     private final Deque<String> tried = new ArrayDeque<>();
     private Responder responder;
 
-    private Question(JobCall call, int partition, FrontRequest request, Responder responder) {
+    private RoutedCall(JobCall call, int partition, FrontRequest request, Responder responder) {
       this.call = call;
       this.partition = partition;
       this.request = request;
@@ -228,7 +239,7 @@
       } else if (holders.find(partition).isPresent()) {
         next();
       } else {
-        learnHolders().thenRunAsync(this::next, executor);
+        lookUpHolders().thenRunAsync(this::next, executor);
       }
     }
 
@@ -239,32 +250,34 @@
         return;
       }
       if (holder.filter(peers.self()::equals).isPresent()) {
-        // It is about to read the partition, and this call with it.
+        // This process is the new holder and is about to read the partition.
         service.answer(call, request, responder);
         return;
       }
-      if (holder.isPresent() && mayAsk(holder.get())) {
-        ask(holder.get());
+      if (holder.isPresent() && mayForwardTo(holder.get())) {
+        forwardTo(holder.get());
         return;
       }
       String missing = holder.orElseGet(tried::getFirst);
-      Optional<String> deputy = peers.deputy(partition, missing);
-      if (deputy.isPresent() && mayAsk(deputy.get())) {
-        ask(deputy.get());
+      Optional<String> standby = peers.standby(partition, missing);
+      if (standby.isPresent() && mayForwardTo(standby.get())) {
+        forwardTo(standby.get());
       } else {
-        answerHere();
+        answerLocally();
       }
     }
 
     /**
-     * Waits until the partition has a holder. All processes were restarted: loading the partition
-     * here would delay its next holder.
+     * Waits until the partition has a holder.
+     *
+     * <p>A partition without a holder means that all processes were restarted. If this process
+     * loaded the partition now, that would delay the next holder's load.
      */
     private void awaitHolder() {
       Duration wait = call instanceof JobCall.Read read ? read.waitTime() : Duration.ZERO;
-      Duration longest = wait.compareTo(HOLDER_TIME) > 0 ? wait : HOLDER_TIME;
-      if (clock.instant().isBefore(request.arrived().plus(longest))) {
-        executor.schedule(this::start, OWNERS_PAUSE.toMillis(), TimeUnit.MILLISECONDS);
+      Duration maxWait = wait.compareTo(HOLDER_WAIT) > 0 ? wait : HOLDER_WAIT;
+      if (clock.instant().isBefore(request.arrived().plus(maxWait))) {
+        executor.schedule(this::start, LOOKUP_PAUSE.toMillis(), TimeUnit.MILLISECONDS);
         return;
       }
       log.important("job", "job.unsure")
@@ -275,41 +288,42 @@
       responder.own(503, NO_HOLDER_RETRY);
     }
 
-    private boolean mayAsk(String name) {
+    private boolean mayForwardTo(String name) {
       return !name.equals(peers.self()) && !tried.contains(name) && peers.reachable(name);
     }
 
-    private void ask(String name) {
+    private void forwardTo(String name) {
       tried.add(name);
       peers
-          .ask(name, request, patience())
+          .forward(name, request, timeout())
           .whenCompleteAsync(
               (reply, failure) -> {
                 if (failure == null) {
                   send(name, reply);
                 } else {
-                  unanswered(failure);
-                  holders.doubt(partition, name);
+                  onNoReply(failure);
+                  holders.remove(partition, name);
                   log.important("job", "holder.silent")
                       .with("id", call.jobId())
                       .with("instance", name)
                       .with("partition", partition)
                       .with("cause", failure.toString())
                       .write();
-                  learnHolders().thenRunAsync(this::next, executor);
+                  lookUpHolders().thenRunAsync(this::next, executor);
                 }
               },
               executor);
     }
 
     /**
-     * Takes that whoever was asked may have carried the call out.
+     * Handles a forwarded call that got no reply, since the other process may have carried it out.
      *
-     * <p>Failure: a holder writes the end of a job and falls silent, and whoever is asked next is
-     * refused by the store. It would show as a job that ended though its caller was told that it
-     * did not. Guard: after such a call no answer promises anything.
+     * <p>A holder may write the end of a job and stop responding, and the store may refuse the next
+     * process to which the call is forwarded. The caller would then be told that the job did not
+     * end, though it did. Therefore a response after such a call never says that the call was not
+     * carried out.
      */
-    private void unanswered(Throwable failure) {
+    private void onNoReply(Throwable failure) {
       Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
       boolean unsent = cause instanceof HttpCallException made && made.unsent();
       if (call instanceof JobCall.End && !unsent) {
@@ -317,11 +331,11 @@
       }
     }
 
-    private Duration patience() {
+    private Duration timeout() {
       if (call instanceof JobCall.Read read) {
-        return read.waitTime().plus(ANSWER_TIME);
+        return read.waitTime().plus(REPLY_TIMEOUT);
       }
-      return call instanceof JobCall.End ? END_TIME : ANSWER_TIME;
+      return call instanceof JobCall.End ? END_REPLY_TIMEOUT : REPLY_TIMEOUT;
     }
 
     private void send(String name, HttpReply reply) {
@@ -330,7 +344,7 @@
       String size = headers.get(PARTITION_BYTES);
       if (size != null) {
         headers.remove(PARTITION_BYTES);
-        tellSize(name, size);
+        recordSize(name, size);
       }
       log.routine("job", "job.answered")
           .with("id", call.jobId())
@@ -340,16 +354,17 @@
       responder.whole(reply.status(), headers, reply.body());
     }
 
-    private void tellSize(String name, String size) {
+    private void recordSize(String name, String size) {
       try {
-        rule.told(partition, Long.parseLong(size));
+        replicaRule.recordSize(partition, Long.parseLong(size));
       } catch (NumberFormatException e) {
-        // The answer is the caller's; the size decides only who reads the partition next.
+        // The reply is passed to the caller all the same. The size only decides which process reads
+        // the partition from now on.
         log.important("job", "partition.size.unreadable").with("instance", name).write();
       }
     }
 
-    private void answerHere() {
+    private void answerLocally() {
       log.important("job", "job.answered.here")
           .with("id", call.jobId())
           .with("partition", partition)
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/JobResult.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/JobResult.java
@@ -1,15 +1,15 @@
 package io.hawthornlb.gateway.job;
 
 /**
- * Outcome of an item, at its position among the results of its job.
+ * Result of an item.
  *
  * @param itemId id of the item
- * @param completed whether the text is the item's whole output; false if it was given up
+ * @param completed whether the text is the item's whole output; false if the item was given up
  * @param text data of all events, joined by line feeds
  */
 public record JobResult(String itemId, boolean completed, String text) {
 
-  // Written out: the generated ones are linked at run time, in some milliseconds.
+  // The generated methods of a record are linked at run time, which takes some milliseconds.
   @Override
   public boolean equals(Object other) {
     return other instanceof JobResult result
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/JobRunners.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/JobRunners.java
@@ -13,50 +13,59 @@
 import java.util.function.Supplier;
 import org.jspecify.annotations.Nullable;
 
-/** Shares the partitions of all jobs among the processes, and runs those of this process. */
+/**
+ * Joins the group of processes that share the partitions of all jobs, and runs the partitions that
+ * this process holds.
+ */
 public final class JobRunners {
 
   private static final String GROUP = "runners";
 
   /**
-   * Time after which a silent process loses its partitions. A process that is restarted is back
-   * within 2 s of its last join and keeps them; two joins may be lost.
+   * Lease after which a silent process loses its partitions. A process that is restarted joins
+   * again within 2 s of its last join and keeps its partitions; two joins may be lost.
    */
   private static final Duration LEASE = Duration.ofMillis(2_500);
 
   private static final Duration JOIN_EVERY = Duration.ofMillis(600);
 
-  /** Epochs of one generation; restarts within it take later ones. */
+  /** Number of epochs within one generation; a restart within a generation uses later ones. */
   private static final long EPOCHS_PER_GENERATION = 10_000_000;
 
-  /** Added after a refused fence, so that the next epoch is above the one that refused it. */
+  /**
+   * Added to the epoch after a refused fence, so that the next epoch is above the one that caused
+   * the refusal.
+   */
   private static final long EPOCH_STEP = 1_000;
 
-  /** Rank of a process that does not know the fleet yet: it takes nothing from others. */
+  /**
+   * Rank of a process that does not know the fleet so far, so that it takes no partition from
+   * others.
+   */
   private static final int UNKNOWN_RANK = Integer.MAX_VALUE;
 
   private final JobParts parts;
   private final int partitions;
   private final JobReplicas replicas;
-  private final JobDesk desk;
+  private final JobRequestRouter router;
   private final HoldNotices notices;
   private final String name;
   private final long startEpoch;
   private final Supplier<OptionalInt> rank;
   private final HolderSelection selection;
   private final Map<Integer, PartitionRunner> runners = new HashMap<>();
-  private final Map<Integer, Long> bumps = new HashMap<>();
+  private final Map<Integer, Long> epochOffsets = new HashMap<>();
   private final Map<Integer, Long> lastEpochs = new HashMap<>();
   private long generation;
   private boolean member;
   private boolean leaving;
-  private boolean lost;
+  private boolean disconnected;
 
   /**
    * Creates the runners of a process.
    *
-   * @param rank place of this process among those of the fleet that do not seem silent, from 0;
-   *     empty until the fleet is known
+   * @param rank rank of this process, from 0, among the processes of the fleet that are not
+   *     suspected of being silent; empty until the fleet is known
    */
   public JobRunners(
       JobParts parts,
@@ -69,7 +78,7 @@
     this.rank = rank;
     this.selection = new HolderSelection(partitions);
     this.notices = notices;
-    notices.onHeld(this::heldElsewhere);
+    notices.onHeld(this::onHeldElsewhere);
     this.name = peers.self();
     this.partitions = partitions;
     this.replicas = new JobReplicas(parts.store(), partitions, parts.executor());
@@ -79,8 +88,8 @@
     JobService service =
         new JobService(
             replicas, parts.store(), format, parts.executor(), parts.clock(), parts.log());
-    this.desk =
-        new JobDesk(
+    this.router =
+        new JobRequestRouter(
             replicas,
             service,
             format,
@@ -90,16 +99,19 @@
             parts.executor(),
             parts.clock(),
             parts.log());
-    // Tenths of a second: a process that restarts within a generation gets a higher epoch.
+    // The start epoch counts tenths of a second, so that a process that restarts within a
+    // generation gets a higher epoch.
     this.startEpoch = parts.clock().instant().toEpochMilli() / 100 % (EPOCHS_PER_GENERATION / 2);
   }
 
-  /** Returns what answers calls about jobs. */
-  public JobDesk calls() {
-    return desk;
+  /** Returns the router that handles calls about jobs. */
+  public JobRequestRouter calls() {
+    return router;
   }
 
-  /** Joins the group and stays in it, as long as this process is to be a member. */
+  /**
+   * Joins the group and stays in it as long as {@link HolderSelection} makes this process a member.
+   */
   public void start() {
     if (leaving) {
       return;
@@ -109,11 +121,11 @@
       join();
     } else {
       leaveGroup();
-      startAgain();
+      scheduleJoin();
     }
   }
 
-  private void startAgain() {
+  private void scheduleJoin() {
     parts.executor().schedule(this::start, JOIN_EVERY.toMillis(), TimeUnit.MILLISECONDS);
   }
 
@@ -125,22 +137,23 @@
         .whenCompleteAsync(
             (share, failure) -> {
               if (failure == null) {
-                joined(share);
+                onJoined(share);
               } else {
-                joinFailed(failure);
+                onJoinFailed(failure);
               }
-              startAgain();
+              scheduleJoin();
             },
             parts.executor());
   }
 
   /**
-   * Records what all items have gained and ends their runs; for a process that ends by itself.
+   * Records the progress of all items and stops their runs, when this process is about to exit.
    *
-   * <p>It stays in the group until its lease ends. Failure: processes are restarted in turn, and
-   * each leaves and joins, so that partitions move twice for each. It shows as items that are moved
-   * more often than they get ahead. Guard: a process that is back within its lease finds its
-   * partitions as it left them; those of one that does not come back move when the lease ends.
+   * <p>This process stays in the group until its lease ends. If each process left the group and
+   * joined again during a rolling restart, partitions would move twice for each process, and items
+   * would be moved more often than they make progress. Therefore a process that is back within its
+   * lease finds its partitions as it left them. The partitions of a process that does not come back
+   * move when its lease ends.
    */
   public void stop() {
     leaving = true;
@@ -158,19 +171,19 @@
     parts
         .store()
         .leave(GROUP, name)
-        .whenCompleteAsync((done, failure) -> left(failure), parts.executor());
+        .whenCompleteAsync((done, failure) -> onLeft(failure), parts.executor());
   }
 
-  private void left(@Nullable Throwable failure) {
+  private void onLeft(@Nullable Throwable failure) {
     if (failure != null) {
-      // The lease ends by itself.
+      // No retry is needed, since the lease ends by itself.
       parts.log().important("job", "group.leave.failed").with("cause", failure.toString()).write();
     }
   }
 
-  private void joined(GroupShare share) {
-    if (lost) {
-      lost = false;
+  private void onJoined(GroupShare share) {
+    if (disconnected) {
+      disconnected = false;
       parts.log().important("job", "group.regained").write();
     }
     if (leaving) {
@@ -185,16 +198,16 @@
           .write();
     }
     generation = share.generation();
-    List<Integer> gone = new ArrayList<>(runners.keySet());
-    gone.removeAll(share.partitions());
-    gone.forEach(this::handOver);
+    List<Integer> removed = new ArrayList<>(runners.keySet());
+    removed.removeAll(share.partitions());
+    removed.forEach(this::handOver);
     share.partitions().forEach(this::hold);
   }
 
-  private void joinFailed(Throwable failure) {
-    // Runs go on: should another process take over, the store refuses what this one writes.
-    if (!lost) {
-      lost = true;
+  private void onJoinFailed(Throwable failure) {
+    // The runs continue. If another process takes over, the store refuses the appends of this one.
+    if (!disconnected) {
+      disconnected = true;
       parts.log().important("job", "group.lost").with("cause", failure.getMessage()).write();
     }
   }
@@ -211,35 +224,37 @@
             partition,
             epoch,
             notices,
-            refused -> refused(partition, refused));
+            refused -> onRefused(partition, refused));
     runners.put(partition, runner);
     runner.start();
   }
 
   /**
-   * Returns an epoch that this process has not had for a partition.
+   * Returns an epoch that this process has not used for a partition.
    *
-   * <p>Failure: a leave does not arrive, and the process holds its partitions anew in the same
-   * generation. Under its former epoch the store would take its appends for repeats of earlier
-   * ones, and answer them as done. Guard: each epoch is above the last one.
+   * <p>The request to leave the group may be lost, and this process may then hold its partitions
+   * again in the same generation. Under its former epoch the store would take its appends for
+   * repeats of earlier ones, and confirm them without carrying them out. Therefore each epoch is
+   * above the last one.
    */
   private long nextEpoch(int partition) {
-    long bump = bumps.getOrDefault(partition, 0L);
-    long ofGeneration = generation * EPOCHS_PER_GENERATION + startEpoch + bump;
-    long epoch = Math.max(ofGeneration, lastEpochs.getOrDefault(partition, -1L) + 1);
+    long offset = epochOffsets.getOrDefault(partition, 0L);
+    long generationEpoch = generation * EPOCHS_PER_GENERATION + startEpoch + offset;
+    long epoch = Math.max(generationEpoch, lastEpochs.getOrDefault(partition, -1L) + 1);
     lastEpochs.put(partition, epoch);
     return epoch;
   }
 
-  private void refused(int partition, PartitionRunner refused) {
-    // One that hands its partition over may be refused after this process holds it anew.
+  private void onRefused(int partition, PartitionRunner refused) {
+    // A runner that hands its partition over may be refused after this process holds the partition
+    // again with another runner.
     if (runners.remove(partition, refused)) {
-      desk.released(partition);
+      router.released(partition);
     }
-    bumps.merge(partition, EPOCH_STEP, Long::sum);
+    epochOffsets.merge(partition, EPOCH_STEP, Long::sum);
   }
 
-  private void heldElsewhere(String holder, int partition, long epoch) {
+  private void onHeldElsewhere(String holder, int partition, long epoch) {
     if (partition >= partitions) {
       parts
           .log()
@@ -249,7 +264,7 @@
           .write();
       return;
     }
-    desk.held(holder, partition, epoch);
+    router.onHeld(holder, partition, epoch);
     PartitionRunner runner = runners.get(partition);
     if (runner != null && runner.epoch() < epoch) {
       drop(partition);
@@ -257,16 +272,17 @@
   }
 
   /**
-   * Hands a partition to its next holder, with what items have gained.
+   * Hands a partition and the progress of its items over to the next holder.
    *
-   * <p>The next holder is told of it once this process joins again, some 600 ms later; until then
-   * nobody else may write to it, so that the records of this process are taken.
+   * <p>The next holder learns of the partition when this process joins again, some 600 ms later.
+   * Until then no other process may write to the partition, so the store accepts the records of
+   * this process.
    */
   private void handOver(int partition) {
     PartitionRunner runner = runners.remove(partition);
     if (runner != null) {
       runner.handOver();
-      desk.released(partition);
+      router.released(partition);
       parts.log().important("job", "partition.handed.over").with("partition", partition).write();
     }
   }
@@ -274,8 +290,8 @@
   private void drop(int partition) {
     PartitionRunner runner = runners.remove(partition);
     if (runner != null) {
-      runner.giveUp();
-      desk.released(partition);
+      runner.abandon();
+      router.released(partition);
       parts.log().important("job", "partition.dropped").with("partition", partition).write();
     }
   }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/JobService.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/JobService.java
@@ -24,25 +24,30 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Answers calls about jobs at any process: what was accepted or ended is in the log before the
- * caller hears of it, and results are shown once they are in the log.
+ * Answers calls about jobs, at any process.
+ *
+ * <p>Submitted and ended jobs are in the log before the caller gets the response. Results are
+ * returned only once they are in the log.
  */
 final class JobService {
 
-  /** Bytes of texts in one page of results; the contract bounds a page at 1 MB. */
+  /** Bytes of result texts in one page; the interface contract limits a page to 1 MB. */
   private static final int PAGE_BYTES = 900_000;
 
-  /** Longest time that appends are repeated; callers wait longer. */
+  /** Longest time for which an append is retried; callers wait longer than this. */
   private static final Duration APPEND_TIME = Duration.ofMillis(3_000);
 
-  /** When to come back if the store cannot be asked. */
+  /** Retry delay that is sent to the caller if the store cannot be reached. */
   private static final Duration STORE_RETRY = Duration.ofMillis(400);
 
-  /** Pause before an append that was answered is tried again. */
-  private static final Duration REPEAT = Duration.ofMillis(200);
+  /**
+   * Pause before an append is retried. No pause follows an attempt with an unknown outcome that
+   * itself took at least this long.
+   */
+  private static final Duration RETRY_PAUSE = Duration.ofMillis(200);
 
-  /** Wait for a result that is worth another call to the store. */
-  private static final Duration LEAST_WAIT = Duration.ofMillis(20);
+  /** Shortest remaining wait that is worth another call to the store. */
+  private static final Duration MIN_WAIT = Duration.ofMillis(20);
 
   private final JobReplicas replicas;
   private final LogStore store;
@@ -66,7 +71,7 @@
     this.log = log;
   }
 
-  /** Answers a call from what this process has read and reads of the log. */
+  /** Answers a call from the jobs that this process has read, and reads the log where needed. */
   void answer(JobCall call, FrontRequest request, Responder responder) {
     if (call instanceof JobCall.Submit submit) {
       submit(submit, request, responder);
@@ -82,7 +87,7 @@
   private void submit(JobCall.Submit submit, FrontRequest request, Responder responder) {
     JobReplica replica = replicas.of(submit.jobId());
     if (replica.table().find(submit.jobId()).isPresent()) {
-      logged("job.known", submit.jobId(), 202);
+      logStatus("job.known", submit.jobId(), 202);
       responder.own(202, null);
       return;
     }
@@ -94,14 +99,14 @@
   private void end(String jobId, Instant arrived, Responder responder) {
     List<KeyedRecord> records = List.of(JobRecords.end(jobId));
     Write write = new Write(jobId, records, arrived, responder, 200, false);
-    withJob(jobId, responder, job -> append(write));
+    withKnownJob(jobId, responder, job -> append(write));
   }
 
   /**
-   * What a caller waits to be written.
+   * Records that must be in the log before a caller gets its response.
    *
-   * @param status status that tells the caller that it is written
-   * @param perhapsDone whether an earlier try got no answer, and may have been carried out
+   * @param status status of the response once the records are written
+   * @param maybeWritten whether an earlier attempt got no response and may have been carried out
    */
   private record Write(
       String jobId,
@@ -109,18 +114,20 @@
       Instant arrived,
       Responder responder,
       int status,
-      boolean perhapsDone) {
+      boolean maybeWritten) {
 
     private long millis(Instant now) {
       return Duration.between(arrived, now).toMillis();
     }
 
-    private Write afterNoAnswer() {
+    private Write withUnknownOutcome() {
       return new Write(jobId, records, arrived, responder, status, true);
     }
   }
 
-  /** Appends until the store has taken it, since taking it twice does no harm. */
+  /**
+   * Appends the records and retries until the store has them. Appending them twice does no harm.
+   */
   private void append(Write write) {
     int partition = replicas.partition(write.jobId());
     Instant began = clock.instant();
@@ -129,7 +136,7 @@
         .whenCompleteAsync(
             (done, failure) -> {
               if (failure == null) {
-                logged("job.written", write.jobId(), write.status());
+                logStatus("job.written", write.jobId(), write.status());
                 write.responder().own(write.status(), null);
               } else {
                 appendFailed(failure, write, began);
@@ -139,40 +146,41 @@
   }
 
   /**
-   * Tries again for a while, then tells the caller.
+   * Retries the append for {@link #APPEND_TIME}, then responds with an error.
    *
-   * <p>Load pattern: the store is away for all for seconds. A caller that is refused at once comes
-   * back a moment later, is refused again, and its job is lost.
+   * <p>The store may be unavailable to all processes for seconds. A caller that is refused at once
+   * retries a moment later, is refused again, and its job is lost.
    *
-   * <p>Failure: a try gets no answer and is carried out, and the next one is refused. Passed on,
-   * that refusal would say of a job that runs that it does not. Guard: only a write of which no try
-   * may have happened is refused.
+   * <p>An attempt may get no response and be carried out all the same, while the next attempt is
+   * refused. Passing this refusal on would tell the caller that a running job does not run.
+   * Therefore 503, which says that nothing was done, is sent only if no attempt may have been
+   * carried out; otherwise the caller gets 502.
    */
   private void appendFailed(Throwable failure, Write write, Instant began) {
     boolean notDone = kind(failure) == StoreException.Kind.NOT_DONE;
-    Duration took = Duration.between(began, clock.instant());
-    Write next = notDone ? write : write.afterNoAnswer();
+    Duration elapsed = Duration.between(began, clock.instant());
+    Write next = notDone ? write : write.withUnknownOutcome();
     log.important("job", "append.failed")
         .with("id", write.jobId())
         .with("done", notDone ? "no" : "unknown")
-        .with("earlierTries", write.perhapsDone() ? "unknown" : "no")
-        .with("tryMillis", took.toMillis())
+        .with("earlierTries", write.maybeWritten() ? "unknown" : "no")
+        .with("tryMillis", elapsed.toMillis())
         .with("millis", write.millis(clock.instant()))
         .with("cause", failure.getMessage())
         .write();
     if (clock.instant().isBefore(write.arrived().plus(APPEND_TIME))) {
-      // What took long needs no pause besides.
-      Duration pause = notDone || took.compareTo(REPEAT) < 0 ? REPEAT : Duration.ZERO;
+      // An attempt that already took longer than the pause is repeated at once.
+      Duration pause = notDone || elapsed.compareTo(RETRY_PAUSE) < 0 ? RETRY_PAUSE : Duration.ZERO;
       executor.schedule(() -> append(next), pause.toMillis(), TimeUnit.MILLISECONDS);
-    } else if (next.perhapsDone()) {
-      // It may have been written, or may still be: no promise.
-      notWritten(write, 502, null);
+    } else if (next.maybeWritten()) {
+      // The records may be in the log or may still arrive there, so the response promises nothing.
+      refuse(write, 502, null);
     } else {
-      notWritten(write, 503, STORE_RETRY);
+      refuse(write, 503, STORE_RETRY);
     }
   }
 
-  private void notWritten(Write write, int status, @Nullable Duration retryAfter) {
+  private void refuse(Write write, int status, @Nullable Duration retryAfter) {
     log.important("job", "job.not.written")
         .with("id", write.jobId())
         .with("status", status)
@@ -182,10 +190,10 @@
   }
 
   private void read(JobCall.Read read, Instant arrived, Responder responder) {
-    withJob(read.jobId(), responder, job -> page(job, read, arrived, responder));
+    withKnownJob(read.jobId(), responder, job -> sendPage(job, read, arrived, responder));
   }
 
-  private void page(Job job, JobCall.Read read, Instant arrived, Responder responder) {
+  private void sendPage(Job job, JobCall.Read read, Instant arrived, Responder responder) {
     List<JobResult> page = job.page(read.after(), PAGE_BYTES);
     if (!page.isEmpty() || read.after() >= job.items().size()) {
       send(job, read, page, responder);
@@ -195,89 +203,90 @@
   }
 
   /**
-   * Waits until there is a result, and answers without one only after the log was read.
+   * Waits for a result, and responds without one only after the log was read to its end.
    *
-   * <p>Failure: a caller reads a result at one process and the same position at another one, which
-   * has not followed the log. It shows as a result that is gone. Guard: that there is none is only
-   * said after a read that began later than the call; if the log cannot be read, nothing is said.
+   * <p>A caller may read a result at one process and then ask a second process, which has not read
+   * the log so far, for the same position. To the caller the result would have disappeared.
+   * Therefore a process says that there is no result only after a read of the log that began later
+   * than the call. If the log cannot be read, the caller gets 503 instead.
    */
   private void waitForResult(Job job, JobCall.Read read, Instant arrived, Responder responder) {
     JobReplica replica = replicas.of(job.id());
     Wait wait = new Wait(job, read, arrived, replica, replica.readsBegun(), responder);
     if (replica.followed()) {
-      awaitReads(wait);
+      awaitHolderReads(wait);
     } else {
-      readOn(wait);
+      readLog(wait);
     }
   }
 
   /**
-   * A caller that waits for a result.
+   * A call that waits for a result.
    *
-   * @param mark number of reads of the log that had begun when the call came
+   * @param readsBefore number of reads of the log that had begun when the call started to wait
    */
   private record Wait(
       Job job,
       JobCall.Read read,
       Instant arrived,
       JobReplica replica,
-      long mark,
+      long readsBefore,
       Responder responder) {
 
-    private Duration left(Instant now) {
-      Duration left = read.waitTime().minus(Duration.between(arrived, now));
-      return left.minus(LEAST_WAIT).isNegative() ? Duration.ZERO : left;
+    private Duration remaining(Instant now) {
+      Duration remaining = read.waitTime().minus(Duration.between(arrived, now));
+      return remaining.minus(MIN_WAIT).isNegative() ? Duration.ZERO : remaining;
     }
   }
 
   /**
-   * Waits for the reads that the holder makes anyway.
+   * Waits for the reads that the holder of the partition makes anyway.
    *
-   * <p>Load pattern: callers wait for results of hundreds of jobs, and each record of a partition
-   * ends all their reads. One read a partition serves them all.
+   * <p>Callers wait for results of hundreds of jobs, and each new record of a partition ends all
+   * their reads. One read for each partition serves all of them.
    */
-  private void awaitReads(Wait wait) {
-    if (answered(wait, wait.replica().provenSince(wait.mark()))) {
+  private void awaitHolderReads(Wait wait) {
+    if (respondIfDue(wait, wait.replica().caughtUpSince(wait.readsBefore()))) {
       return;
     }
-    Duration left = wait.left(clock.instant());
-    if (left.isZero()) {
-      readOn(wait);
+    Duration remaining = wait.remaining(clock.instant());
+    if (remaining.isZero()) {
+      readLog(wait);
       return;
     }
     CompletableFuture<Void> woken = new CompletableFuture<>();
-    executor.schedule(() -> woken.complete(null), left.toMillis(), TimeUnit.MILLISECONDS);
+    executor.schedule(() -> woken.complete(null), remaining.toMillis(), TimeUnit.MILLISECONDS);
     wait.replica().nextRead().whenComplete((any, failure) -> woken.complete(null));
-    woken.thenRunAsync(() -> awaitReads(wait), executor);
+    woken.thenRunAsync(() -> awaitHolderReads(wait), executor);
   }
 
-  private void readOn(Wait wait) {
+  private void readLog(Wait wait) {
     wait.replica()
-        .read(wait.left(clock.instant()))
+        .read(wait.remaining(clock.instant()))
         .whenCompleteAsync(
             (done, failure) -> {
-              if (answered(wait, failure == null)) {
+              if (respondIfDue(wait, failure == null)) {
                 return;
               }
               if (failure != null) {
-                logged("job.unsure", wait.job().id(), 503);
+                logStatus("job.unsure", wait.job().id(), 503);
                 wait.responder().own(503, STORE_RETRY);
               } else {
-                readOn(wait);
+                readLog(wait);
               }
             },
             executor);
   }
 
   /**
-   * Answers if there is a result, or if the wait is over.
+   * Responds if there is a result or if the wait time is over; returns whether a response was sent.
    *
-   * @param proven whether a read that began after the call has reached the end of the log
+   * @param upToDate whether a read that began after the call has reached the end of the log
    */
-  private boolean answered(Wait wait, boolean proven) {
+  private boolean respondIfDue(Wait wait, boolean upToDate) {
     Job job = wait.replica().table().find(wait.job().id()).orElse(wait.job());
     List<JobResult> page = job.page(wait.read().after(), PAGE_BYTES);
-    boolean over = proven && wait.left(clock.instant()).isZero();
+    boolean over = upToDate && wait.remaining(clock.instant()).isZero();
     if (page.isEmpty() && !over) {
       return false;
     }
@@ -298,7 +307,7 @@
   }
 
   private void readBody(JobCall.ReadBody call, Responder responder) {
-    withJob(call.jobId(), responder, job -> sendBody(job, call.itemId(), responder));
+    withKnownJob(call.jobId(), responder, job -> sendBody(job, call.itemId(), responder));
   }
 
   private void sendBody(Job job, String itemId, Responder responder) {
@@ -310,8 +319,8 @@
     }
   }
 
-  /** Runs an action with a job; answers 404 only after the log was read to its end. */
-  private void withJob(String jobId, Responder responder, Consumer<Job> action) {
+  /** Runs an action with a job. Responds with 404 only after the log was read to its end. */
+  private void withKnownJob(String jobId, Responder responder, Consumer<Job> action) {
     JobReplica replica = replicas.of(jobId);
     Optional<Job> known = replica.table().find(jobId);
     if (known.isPresent()) {
@@ -324,11 +333,11 @@
           Optional<Job> found = replica.table().find(jobId);
           if (found.isPresent()) {
             action.accept(found.get());
-          } else if (failure != null || replica.table().unsure(jobId)) {
-            logged("job.unsure", jobId, 503);
+          } else if (failure != null || replica.table().maybeAccepted(jobId)) {
+            logStatus("job.unsure", jobId, 503);
             responder.own(503, STORE_RETRY);
           } else {
-            logged("job.unknown", jobId, 404);
+            logStatus("job.unknown", jobId, 404);
             responder.own(404, null);
           }
         },
@@ -340,7 +349,7 @@
     return cause instanceof StoreException store ? store.kind() : StoreException.Kind.UNKNOWN;
   }
 
-  private void logged(String event, String jobId, int status) {
+  private void logStatus(String event, String jobId, int status) {
     log.important("job", event).with("id", jobId).with("status", status).write();
   }
 }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/JobTable.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/JobTable.java
@@ -19,14 +19,15 @@
 /**
  * The jobs of one partition, folded from its records.
  *
- * <p>Taking a record twice, or records of different keys in another order, gives the same jobs: a
- * page of newest records may hold what a read gives once more, and comes in the order of keys.
+ * <p>Applying a record twice, or applying records of different keys in another order, yields the
+ * same jobs. Both occur: a list of newest records may contain records that a later read returns
+ * again, and the list is in the order of the keys.
  */
 final class JobTable {
 
   private final Map<String, Job> jobs = new LinkedHashMap<>();
   private final Map<String, TreeMap<Integer, byte[]>> parts = new HashMap<>();
-  private final Map<String, TreeMap<Integer, JobResult>> early = new HashMap<>();
+  private final Map<String, TreeMap<Integer, JobResult>> resultsBeforeJob = new HashMap<>();
   private final Set<String> ended = new HashSet<>();
   private final Set<String> destroyed = new LinkedHashSet<>();
   private final Set<String> damaged = new HashSet<>();
@@ -42,7 +43,7 @@
     return jobs.values();
   }
 
-  /** Returns the ids of all jobs of which it holds records, as of now. */
+  /** Returns a snapshot of the ids of all jobs that have records in this table. */
   Set<String> jobIds() {
     return Set.copyOf(bytesByKey.keySet());
   }
@@ -52,36 +53,36 @@
     return bytesByKey.getOrDefault(jobId, Map.of()).keySet();
   }
 
-  /** Returns the bytes of the newest records of all keys, as far as they were read. */
+  /** Returns the total size in bytes of the newest record of each key that was read. */
   long bytes() {
     return bytes;
   }
 
   /**
-   * Calls a listener for each record that cannot be read.
+   * Sets the listener for records that cannot be decoded.
    *
-   * @param listener takes the key of the record and what is wrong
+   * @param listener receives the key of the record and the cause
    */
   void onUnreadable(BiConsumer<String, UnreadableException> listener) {
     unreadable = listener;
   }
 
   /**
-   * Returns whether a job may have been accepted whose records cannot be read. It is not known, but
-   * must not be called unknown.
+   * Returns whether a job may have been accepted whose records are incomplete or cannot be decoded.
+   * Such a job cannot be used, but callers must not be told that it does not exist.
    */
-  boolean unsure(String jobId) {
+  boolean maybeAccepted(String jobId) {
     return !jobs.containsKey(jobId) && (damaged.contains(jobId) || parts.containsKey(jobId));
   }
 
   /**
-   * Takes a record.
+   * Applies a record.
    *
-   * <p>Failure: another writer leaves a record that cannot be read, or destroys one. It shows as a
-   * partition none of whose jobs can be read any more. Guard: such a record is told and passed
-   * over; what is known of its job stays.
+   * <p>Another writer may leave a record that cannot be decoded, or overwrite a valid one. Without
+   * a guard no job of the partition could be read any more. Therefore such a record is reported to
+   * the listener and skipped, and what is already known of its job stays.
    */
-  void take(KeyedRecord record) {
+  void apply(KeyedRecord record) {
     JobRecords.Key key;
     try {
       key = JobRecords.key(record.key());
@@ -90,7 +91,7 @@
       return;
     }
     destroyed.remove(record.key());
-    count(key.jobId(), record);
+    countBytes(key.jobId(), record);
     try {
       fold(key, record.value());
     } catch (UnreadableException e) {
@@ -100,23 +101,27 @@
   }
 
   /**
-   * Returns the records of jobs that this process knows and whose newest ones in the log another
-   * writer has destroyed: whoever loads the log next knows nothing of what they held. Records that
-   * belong together are in one list; a key that this process never writes is left alone.
+   * Returns the records that another writer has destroyed in the log and that this process can
+   * write again. A process that loads the log without them does not know what they held.
+   *
+   * <p>Each list contains records that belong together. A key that this process never writes is
+   * left out.
    */
   List<List<KeyedRecord>> restorations() {
     Map<String, List<KeyedRecord>> lists = new LinkedHashMap<>();
-    for (String text : destroyed) {
-      List<KeyedRecord> known = known(JobRecords.key(text));
-      if (known.stream().anyMatch(record -> record.key().equals(text))) {
+    for (String destroyedKey : destroyed) {
+      List<KeyedRecord> known = currentRecords(JobRecords.key(destroyedKey));
+      if (known.stream().anyMatch(record -> record.key().equals(destroyedKey))) {
         lists.put(known.get(0).key(), known);
       }
     }
     return List.copyOf(lists.values());
   }
 
-  /** Returns the record that this process would write under a key, with its job's other parts. */
-  private List<KeyedRecord> known(JobRecords.Key key) {
+  /**
+   * Returns the record that this process would write under a key; for a part of a job, all parts.
+   */
+  private List<KeyedRecord> currentRecords(JobRecords.Key key) {
     Job job = jobs.get(key.jobId());
     if (job != null && key.part()) {
       return JobRecords.accepted(job);
@@ -133,21 +138,21 @@
     if (value == null) {
       drop(key);
     } else if (key.part()) {
-      takePart(key, value);
+      applyPart(key, value);
     } else if (key.result()) {
-      takeResult(key, JobRecords.result(value));
+      applyResult(key, JobRecords.result(value));
     } else if (key.progress()) {
-      JobRecords.Gained gained = JobRecords.gained(value);
-      JobRecords.checkStart(key, gained);
-      find(key.jobId()).ifPresent(job -> job.gain(gained));
+      JobRecords.Progress progress = JobRecords.progress(value);
+      JobRecords.checkStart(key, progress);
+      find(key.jobId()).ifPresent(job -> job.addProgress(progress));
     } else if (key.offer()) {
       JobResult offered = JobRecords.result(value);
       JobRecords.checkItem(key, offered.itemId());
-      find(key.jobId()).ifPresent(job -> job.offer(offered));
+      find(key.jobId()).ifPresent(job -> job.addOffer(offered));
     } else if (key.failures()) {
       JobRecords.Failures failures = JobRecords.failures(value);
       JobRecords.checkItem(key, failures.itemId());
-      find(key.jobId()).ifPresent(job -> job.fail(failures));
+      find(key.jobId()).ifPresent(job -> job.addFailures(failures));
     } else if (key.end()) {
       JobRecords.checkEnd(value);
       ended.add(key.jobId());
@@ -155,24 +160,25 @@
     }
   }
 
-  private void count(String jobId, KeyedRecord record) {
+  private void countBytes(String jobId, KeyedRecord record) {
     byte[] value = record.value();
     Map<String, Integer> ofJob = bytesByKey.computeIfAbsent(jobId, any -> new HashMap<>());
-    Integer former = value == null ? ofJob.remove(record.key()) : null;
+    Integer previousLength = value == null ? ofJob.remove(record.key()) : null;
     if (value != null) {
-      former = ofJob.put(record.key(), value.length);
+      previousLength = ofJob.put(record.key(), value.length);
       bytes += value.length;
     }
-    bytes -= former == null ? 0 : former;
+    bytes -= previousLength == null ? 0 : previousLength;
     if (ofJob.isEmpty()) {
       bytesByKey.remove(jobId);
     }
   }
 
-  private void takePart(JobRecords.Key key, byte[] value) {
+  private void applyPart(JobRecords.Key key, byte[] value) {
     String jobId = key.jobId();
     if (jobs.containsKey(jobId)) {
-      // Accepted once; but what stands there now is told if the next reader cannot read it.
+      // A job is accepted only once, so the first version stays. The new value is decoded all the
+      // same, so that an unreadable one is reported and restored.
       JobRecords.Part part = JobRecords.part(value);
       if (part.count() == 1) {
         JobRecords.decode(jobId, part.bytes());
@@ -182,7 +188,7 @@
     try {
       JobRecords.Part part = JobRecords.part(value);
       if (key.number() >= part.count()) {
-        throw new UnreadableException("part", "beyond the last one");
+        throw new UnreadableException("part", "number is beyond the last part");
       }
       TreeMap<Integer, byte[]> known = parts.computeIfAbsent(jobId, any -> new TreeMap<>());
       known.tailMap(part.count(), true).clear();
@@ -191,7 +197,8 @@
         ByteArrayOutputStream whole = new ByteArrayOutputStream();
         known.values().forEach(whole::writeBytes);
         add(JobRecords.decode(jobId, whole.toByteArray()));
-        // Parts that make no job stay: when it is written anew, they are replaced one by one.
+        // Parts that do not decode to a job are kept. When the job is written again, its parts
+        // replace them one by one.
         parts.remove(jobId);
         damaged.remove(jobId);
       }
@@ -203,47 +210,50 @@
 
   private void add(Job job) {
     jobs.put(job.id(), job);
-    TreeMap<Integer, JobResult> waiting = early.remove(job.id());
-    if (waiting != null) {
-      waiting.forEach((position, result) -> put(job, position, result));
+    TreeMap<Integer, JobResult> earlier = resultsBeforeJob.remove(job.id());
+    if (earlier != null) {
+      earlier.forEach((position, result) -> put(job, position, result));
     }
     if (ended.contains(job.id())) {
       job.end();
     }
   }
 
-  private void takeResult(JobRecords.Key key, JobResult result) {
+  private void applyResult(JobRecords.Key key, JobResult result) {
     Job job = jobs.get(key.jobId());
     if (job != null) {
       put(job, key.number(), result);
     } else {
-      early.computeIfAbsent(key.jobId(), any -> new TreeMap<>()).putIfAbsent(key.number(), result);
+      resultsBeforeJob
+          .computeIfAbsent(key.jobId(), any -> new TreeMap<>())
+          .putIfAbsent(key.number(), result);
     }
   }
 
   private void put(Job job, int position, JobResult result) {
     Optional<JobResult> known = job.result(position);
     if (known.isPresent() && !known.get().equals(result)) {
-      // The first one stays, here and, once it is written again, in the log.
+      // The first result stays: here, and in the log once this process has written it again.
       destroyed.add(JobRecords.resultKey(job.id(), position));
     }
-    if (job.has(position, result)) {
+    if (job.accepts(position, result)) {
       job.put(position, result);
     } else {
       unreadable.accept(
           JobRecords.resultKey(job.id(), position),
-          new UnreadableException("result", "of no item of its job, or beyond the last"));
+          new UnreadableException(
+              "result", "item is not part of the job, or position is beyond its last item"));
     }
   }
 
-  /** Forgets a job that the log no longer holds. */
+  /** Removes a job that the log no longer contains. */
   void drop(String jobId) {
     jobs.remove(jobId);
     parts.remove(jobId);
-    early.remove(jobId);
-    Map<String, Integer> gone = bytesByKey.remove(jobId);
-    if (gone != null) {
-      bytes -= gone.values().stream().mapToInt(Integer::intValue).sum();
+    resultsBeforeJob.remove(jobId);
+    Map<String, Integer> removed = bytesByKey.remove(jobId);
+    if (removed != null) {
+      bytes -= removed.values().stream().mapToInt(Integer::intValue).sum();
     }
     ended.remove(jobId);
     damaged.remove(jobId);
@@ -255,7 +265,7 @@
     } else if (key.end()) {
       ended.remove(key.jobId());
     } else if (key.progress()) {
-      find(key.jobId()).ifPresent(job -> job.forget(key.itemId(), key.start()));
+      find(key.jobId()).ifPresent(job -> job.dropProgress(key.itemId(), key.start()));
     }
   }
 }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/PartitionRunner.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/PartitionRunner.java
@@ -22,40 +22,41 @@
 /**
  * Runs the items of one partition's jobs while this process holds the partition.
  *
- * <p>Failure: a holder is frozen or cut off, another one takes over, and the first wakes up and
- * writes. It would show as an item at two positions. Guard: a holder first fences the partition
- * with its epoch, then reads the log to its end, and only then assigns positions; appends of former
- * holders are refused from the fence on, also those that were on their way.
+ * <p>A holder may be frozen or cut off while another process takes the partition over, and may
+ * later wake up and write. An item would then be listed at two positions. Therefore a holder first
+ * fences the partition with its epoch, then reads the log to its end, and only then assigns
+ * positions. From the fence on the store refuses appends of former holders, including appends that
+ * were already under way.
  */
 final class PartitionRunner {
 
   private static final String WRITER = "runner";
 
-  /** Pause before a failed call to the store is made again. */
-  private static final Duration REPEAT = Duration.ofMillis(200);
+  /** Pause before a failed call to the store is retried. */
+  private static final Duration RETRY_PAUSE = Duration.ofMillis(200);
 
-  /** Longest wait of a read for new jobs while no caller waits for a result. */
+  /** Longest time for which a read waits for new records while no caller waits for a result. */
   private static final Duration READ_WAIT = Duration.ofSeconds(2);
 
   /**
-   * The same while callers wait, a second at most: each is answered after a read that began later
-   * than its call, so that two reads a second serve all of them.
+   * The same while callers wait; they wait a second at most. Each caller is answered after a read
+   * that began later than its call, so two reads a second serve all of them.
    */
   private static final Duration AWAITED_READ_WAIT = Duration.ofMillis(450);
 
   /**
-   * Time between two records of what running items have gained: what each of them loses at most
-   * when all processes are killed. A record costs a call for all items of a partition together.
+   * Interval at which the progress of running items is recorded, which is the most that each item
+   * loses when all processes are killed. One append records all items of a partition.
    */
-  private static final Duration SAVE_EVERY = Duration.ofMillis(700);
+  private static final Duration SAVE_INTERVAL = Duration.ofMillis(700);
 
-  /** Events below which a record is not worth its bytes. */
-  private static final int SAVED_EVENTS = 10;
+  /** Minimum number of new events for which a progress record is worth its bytes. */
+  private static final int MIN_SAVED_EVENTS = 10;
 
-  /** Time between two looks for items to give up and jobs to drop. */
-  private static final Duration SWEEP_EVERY = Duration.ofSeconds(5);
+  /** Interval at which items are checked for being too old and jobs for being no longer needed. */
+  private static final Duration SWEEP_INTERVAL = Duration.ofSeconds(5);
 
-  /** When items are due if their route names no time. */
+  /** Time within which items are due if their route names none. */
   private static final Duration DEFAULT_COMPLETION = Duration.ofSeconds(60);
 
   private final JobParts parts;
@@ -63,15 +64,15 @@
   private final int partition;
   private final long epoch;
   private final HoldNotices notices;
-  private final Consumer<PartitionRunner> lost;
+  private final Consumer<PartitionRunner> onRefused;
   private final RunEstimate estimate = new RunEstimate();
-  private final AskWindow window = new AskWindow();
+  private final SlotRequestLimiter limiter = new SlotRequestLimiter();
   private final JobAges ages;
   private final Map<String, ItemRun> runs = new HashMap<>();
   private final List<Finished> finished = new ArrayList<>();
   private final List<Finished> inFlight = new ArrayList<>();
-  private final Set<String> decided = new HashSet<>();
-  private final List<KeyedRecord> waiting = new ArrayList<>();
+  private final Set<String> resultDecided = new HashSet<>();
+  private final List<KeyedRecord> waitingRecords = new ArrayList<>();
   private long sequence;
   private boolean writing;
   private boolean stopped;
@@ -84,17 +85,17 @@
       int partition,
       long epoch,
       HoldNotices notices,
-      Consumer<PartitionRunner> lost) {
+      Consumer<PartitionRunner> onRefused) {
     this.notices = notices;
     this.parts = parts;
     this.replica = replica;
     this.partition = partition;
     this.epoch = epoch;
-    this.lost = lost;
+    this.onRefused = onRefused;
     this.ages = new JobAges(parts.clock());
   }
 
-  /** Fences former holders, then begins. */
+  /** Fences former holders, then reads the log and starts the items. */
   void start() {
     if (stopped) {
       return;
@@ -114,17 +115,17 @@
                 notices.held(partition, epoch);
                 catchUp();
               } else {
-                storeFailed("fence", failure, this::start);
+                onStoreFailure("fence", failure, this::start);
               }
             },
             parts.executor());
   }
 
-  /** Ends all runs; what they produced so far is lost. */
+  /** Stops all runs; the output that is not recorded is lost. */
   void stop() {
     stopped = true;
     replica.followed(false);
-    window.close();
+    limiter.close();
     runs.values().forEach(ItemRun::stop);
     runs.clear();
   }
@@ -145,18 +146,18 @@
             (done, failure) -> {
               if (failure == null) {
                 replica.followed(true);
-                begin();
-                follow();
-                saveLater();
-                sweepLater();
+                startItems();
+                scheduleRead();
+                scheduleSave();
+                scheduleSweep();
               } else {
-                storeFailed("read", failure, this::catchUp);
+                onStoreFailure("read", failure, this::catchUp);
               }
             },
             parts.executor());
   }
 
-  private void follow() {
+  private void scheduleRead() {
     readOn(replica.awaited() ? AWAITED_READ_WAIT : READ_WAIT);
   }
 
@@ -169,18 +170,19 @@
         .whenCompleteAsync(
             (done, failure) -> {
               if (failure == null) {
-                begin();
-                follow();
+                startItems();
+                scheduleRead();
               } else {
-                // Without waiting, so that it shows at once when the store answers again.
-                storeFailed("read", failure, () -> readOn(Duration.ZERO));
+                // This read does not wait for records, so that it succeeds as soon as the store
+                // responds again.
+                onStoreFailure("read", failure, () -> readOn(Duration.ZERO));
               }
             },
             parts.executor());
   }
 
-  /** Starts the items that have neither a result nor a run, and stops those of ended jobs. */
-  private void begin() {
+  /** Starts the items that have neither a result nor a run, and stops the items of ended jobs. */
+  private void startItems() {
     if (stopped) {
       return;
     }
@@ -193,7 +195,7 @@
           finish(job, job.offered(item.id()).get());
         } else if (!job.listed(item.id()) && !runs.containsKey(item.id())) {
           ItemRun run =
-              new ItemRun(parts, job, item, epoch, due(job), estimate, window, new Outcomes(job));
+              new ItemRun(parts, job, item, epoch, due(job), estimate, limiter, new Outcomes(job));
           runs.put(item.id(), run);
           run.start();
         }
@@ -219,7 +221,7 @@
     return job.accepted().plus(completion);
   }
 
-  /** Receives what becomes of the items of a job. */
+  /** Handles the outcome of the items of a job. */
   private final class Outcomes implements ItemOutcome {
 
     private final Job job;
@@ -234,16 +236,16 @@
     }
 
     @Override
-    public void failed(JobItem item, int count) {
+    public void endpointFailed(JobItem item, int count) {
       JobRecords.Failures failures = new JobRecords.Failures(item.id(), count);
-      waiting.add(JobRecords.failures(job.id(), failures, epoch));
+      waitingRecords.add(JobRecords.failures(job.id(), failures, epoch));
       write();
     }
   }
 
-  /** Lists a result, unless the item has one or is about to. */
+  /** Queues a result to be listed, unless the item has a result or one is already queued. */
   private void finish(Job job, JobResult result) {
-    if (!job.listed(result.itemId()) && decided.add(decision(job, result.itemId()))) {
+    if (!job.listed(result.itemId()) && resultDecided.add(decision(job, result.itemId()))) {
       finished.add(new Finished(job, result));
       write();
     }
@@ -253,8 +255,8 @@
     return job.id() + "/" + itemId;
   }
 
-  private void saveLater() {
-    parts.executor().schedule(this::save, SAVE_EVERY.toMillis(), TimeUnit.MILLISECONDS);
+  private void scheduleSave() {
+    parts.executor().schedule(this::save, SAVE_INTERVAL.toMillis(), TimeUnit.MILLISECONDS);
   }
 
   private void save() {
@@ -264,41 +266,41 @@
     if (!writing) {
       List<KeyedRecord> records = Restoration.next(replica.table(), partition, parts.log());
       if (records.isEmpty()) {
-        records = gained(SAVED_EVENTS);
+        records = progressRecords(MIN_SAVED_EVENTS);
       }
       if (!records.isEmpty()) {
         writing = true;
         append(records);
       }
     }
-    saveLater();
+    scheduleSave();
   }
 
-  private void sweepLater() {
-    parts.executor().schedule(this::sweep, SWEEP_EVERY.toMillis(), TimeUnit.MILLISECONDS);
+  private void scheduleSweep() {
+    parts.executor().schedule(this::sweep, SWEEP_INTERVAL.toMillis(), TimeUnit.MILLISECONDS);
   }
 
   private void sweep() {
     if (stopped) {
       return;
     }
-    ages.note(replica.table().all());
+    ages.update(replica.table().all());
     for (Job job : List.copyOf(replica.table().all())) {
-      giveUpOld(job);
+      giveUpOldItems(job);
     }
-    dropOld();
-    sweepLater();
+    deleteOldJobs();
+    scheduleSweep();
   }
 
-  /** Gives up the items of a job that are past the time for which they are kept. */
-  private void giveUpOld(Job job) {
-    Optional<Duration> kept =
+  /** Gives up the unfinished items of a job that is older than the retention of its route. */
+  private void giveUpOldItems(Job job) {
+    Optional<Duration> retention =
         parts
             .config()
             .current()
             .flatMap(config -> config.jobRoute(job.host()))
             .map(Route::retention);
-    if (kept.isEmpty() || job.ended() || !ages.olderThan(job, kept.get())) {
+    if (retention.isEmpty() || job.ended() || !ages.olderThan(job, retention.get())) {
       return;
     }
     for (JobItem item : job.items()) {
@@ -310,30 +312,30 @@
     }
   }
 
-  /** Drops the records of jobs whose results need no longer be readable. */
-  private void dropOld() {
+  /** Deletes the records of finished jobs whose results no longer need to be readable. */
+  private void deleteOldJobs() {
     if (writing) {
       return;
     }
-    List<KeyedRecord> drops = new ArrayList<>();
+    List<KeyedRecord> deletions = new ArrayList<>();
     for (Job job : replica.table().all()) {
       boolean over = job.ended() || job.complete();
       if (over && ages.olderThan(job, parts.resultRetention())) {
-        replica.table().keys(job.id()).forEach(key -> drops.add(new KeyedRecord(key, null)));
+        replica.table().keys(job.id()).forEach(key -> deletions.add(new KeyedRecord(key, null)));
       }
     }
-    if (!drops.isEmpty()) {
+    if (!deletions.isEmpty()) {
       writing = true;
-      append(AppendSize.parts(drops).get(0));
+      append(AppendSize.parts(deletions).get(0));
     }
   }
 
-  private List<KeyedRecord> gained(int leastEvents) {
+  private List<KeyedRecord> progressRecords(int minEvents) {
     List<KeyedRecord> records = new ArrayList<>();
     AppendSize size = new AppendSize();
     for (ItemRun run : runs.values()) {
       Optional<KeyedRecord> record =
-          run.gained(leastEvents).map(gained -> JobRecords.gained(run.job().id(), gained));
+          run.newProgress(minEvents).map(added -> JobRecords.progress(run.job().id(), added));
       record.ifPresent(records::add);
       if (!size.add(record.stream().toList())) {
         break;
@@ -343,29 +345,31 @@
   }
 
   /**
-   * Leaves what items have gained and results that wait to the next holder, then stops; for a
-   * holder that gives the partition away.
+   * Hands the items' progress and the unwritten results over to the next holder, then stops. Called
+   * while this process still holds the partition.
    */
   void handOver() {
     if (!stopped) {
-      List<KeyedRecord> records = unlisted();
-      records.addAll(gained(1));
+      List<KeyedRecord> records = unwrittenRecords();
+      records.addAll(progressRecords(1));
       new Relinquishment(parts, partition, records).write();
     }
     stop();
   }
 
-  /** Leaves results that wait to the process that holds the partition by now, then stops. */
-  void giveUp() {
+  /**
+   * Hands the unwritten results over to the process that holds the partition by now, then stops.
+   */
+  void abandon() {
     if (!stopped) {
-      new Relinquishment(parts, partition, unlisted()).write();
+      new Relinquishment(parts, partition, unwrittenRecords()).write();
     }
     stop();
   }
 
-  /** Returns the results and failures that may not be in the log yet. */
-  private List<KeyedRecord> unlisted() {
-    List<KeyedRecord> records = new ArrayList<>(waiting);
+  /** Returns offers of the results, and the failure counts, that may not be in the log so far. */
+  private List<KeyedRecord> unwrittenRecords() {
+    List<KeyedRecord> records = new ArrayList<>(waitingRecords);
     for (Finished each : inFlight) {
       records.add(JobRecords.offer(each.job().id(), each.result()));
     }
@@ -376,15 +380,16 @@
   }
 
   /**
-   * Writes all results and failures that wait in one append; one append is on its way at a time.
+   * Writes all waiting results and failure counts in one append, unless an append is already in
+   * progress.
    */
   private void write() {
-    if (writing || stopped || (finished.isEmpty() && waiting.isEmpty())) {
+    if (writing || stopped || (finished.isEmpty() && waitingRecords.isEmpty())) {
       return;
     }
     writing = true;
-    List<KeyedRecord> records = new ArrayList<>(waiting);
-    waiting.clear();
+    List<KeyedRecord> records = new ArrayList<>(waitingRecords);
+    waitingRecords.clear();
     AppendSize size = new AppendSize();
     boolean room = size.add(records);
     Map<String, Integer> next = new HashMap<>();
@@ -393,32 +398,38 @@
       Finished each = results.next();
       results.remove();
       inFlight.add(each);
-      List<KeyedRecord> listed = listed(each, next);
+      List<KeyedRecord> listed = listingRecords(each, next);
       records.addAll(listed);
       room = size.add(listed);
     }
     append(records);
   }
 
-  /** Returns what lists a result behind those of its job. */
-  private List<KeyedRecord> listed(Finished each, Map<String, Integer> next) {
+  /**
+   * Returns the records that list a result after the other results of its job.
+   *
+   * @param next next position for each job that has a result in this append
+   */
+  private List<KeyedRecord> listingRecords(Finished each, Map<String, Integer> next) {
     String jobId = each.job().id();
-    // A result behind a gap that another writer made keeps its position.
+    // A result after a gap that another writer made keeps its position, so the search skips taken
+    // positions.
     int position = each.job().freePosition(next.getOrDefault(jobId, each.job().resultCount()));
     next.put(jobId, position + 1);
     List<KeyedRecord> records = new ArrayList<>();
     records.add(JobRecords.result(jobId, position, each.result()));
-    records.addAll(withoutRest(jobId, each.result().itemId()));
+    records.addAll(deletionsAfterResult(jobId, each.result().itemId()));
     return records;
   }
 
   /**
-   * Returns what drops the progress and the offer of an item that has its result.
+   * Returns deletions of the progress records and the offered result of an item that has its
+   * result.
    *
-   * <p>Kept, it would double what a process has to load that takes the partition over: an item is
-   * recorded several times, up to its last event.
+   * <p>An item has several progress records, up to its last event. If they stayed, they would
+   * double the bytes that a process has to load when it takes the partition over.
    */
-  private List<KeyedRecord> withoutRest(String jobId, String itemId) {
+  private List<KeyedRecord> deletionsAfterResult(String jobId, String itemId) {
     return replica.table().keys(jobId).stream()
         .filter(key -> JobRecords.neededUntilResult(key, itemId))
         .map(key -> new KeyedRecord(key, null))
@@ -435,22 +446,23 @@
         .whenCompleteAsync(
             (done, failure) -> {
               if (failure == null) {
-                written(records);
+                onWritten(records);
               } else {
-                // The same sequence number again: an append that was carried out is not repeated.
-                storeFailed("append", failure, () -> append(records));
+                // The retry uses the same sequence number, so the store does not carry an append
+                // out twice.
+                onStoreFailure("append", failure, () -> append(records));
               }
             },
             parts.executor());
   }
 
-  private void written(List<KeyedRecord> records) {
+  private void onWritten(List<KeyedRecord> records) {
     sequence++;
     writing = false;
-    inFlight.forEach(each -> decided.remove(decision(each.job(), each.result().itemId())));
+    inFlight.forEach(each -> resultDecided.remove(decision(each.job(), each.result().itemId())));
     inFlight.clear();
     for (KeyedRecord record : records) {
-      replica.take(record);
+      replica.apply(record);
       if (record.value() != null && JobRecords.key(record.key()).result()) {
         runs.remove(JobRecords.result(record.value()).itemId());
       }
@@ -458,24 +470,24 @@
     write();
   }
 
-  private void storeFailed(String what, Throwable failure, Runnable again) {
+  private void onStoreFailure(String call, Throwable failure, Runnable retry) {
     Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
     StoreException.Kind kind =
         cause instanceof StoreException store ? store.kind() : StoreException.Kind.UNKNOWN;
-    parts.metrics().count("store.failed", what + " " + kind.name());
+    parts.metrics().count("store.failed", call + " " + kind.name());
     parts
         .log()
         .important("job", "partition.store.failed")
         .with("partition", partition)
-        .with("call", what)
+        .with("call", call)
         .with("kind", kind.name())
         .with("cause", String.valueOf(cause == null ? failure : cause.getMessage()))
         .write();
     if (kind == StoreException.Kind.FENCED || kind == StoreException.Kind.OUT_OF_SEQUENCE) {
-      giveUp();
-      lost.accept(this);
+      abandon();
+      onRefused.accept(this);
     } else if (!stopped) {
-      parts.executor().schedule(again, REPEAT.toMillis(), TimeUnit.MILLISECONDS);
+      parts.executor().schedule(retry, RETRY_PAUSE.toMillis(), TimeUnit.MILLISECONDS);
     }
   }
 }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/ProgressChain.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/ProgressChain.java
@@ -7,31 +7,35 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What holders have recorded of an item, and the text that it makes.
+ * Joins the progress records that successive holders have written about one item.
  *
- * <p>Failure: a former holder's record comes when the next holder has gone on with another run. It
- * shows as a text whose parts are of two runs. Guard: a record names its writer and the record that
- * it extends, none replaces another writer's, and only those are joined that name each other; of
- * all texts the furthest one counts, in whatever order the records came.
+ * <p>A record of a former holder may arrive after the next holder has continued with another
+ * attempt. The joined text would then mix the texts of two attempts. Therefore each record names
+ * its writer and the record that it extends, and no record replaces another writer's. Only records
+ * that extend one another are joined. Of all texts that result, the furthest one counts, in
+ * whatever order the records arrived.
  */
 final class ProgressChain {
 
-  private final TreeMap<ProgressLink, JobRecords.Gained> recordsByStart = new TreeMap<>();
+  private final TreeMap<ProgressLink, JobRecords.Progress> recordsByStart = new TreeMap<>();
   private @Nullable ItemProgress joined;
 
-  /** Takes a record. */
-  void put(JobRecords.Gained gained) {
-    recordsByStart.put(gained.start(), gained);
+  /** Adds a progress record. */
+  void put(JobRecords.Progress added) {
+    recordsByStart.put(added.start(), added);
     joined = null;
   }
 
-  /** Forgets the record that begins at a place. */
+  /** Removes the record that begins at a point. */
   void drop(ProgressLink start) {
     recordsByStart.remove(start);
     joined = null;
   }
 
-  /** Returns the furthest text; of two the one whose last record has the higher epoch. */
+  /**
+   * Returns the text that reaches furthest; of two that reach equally far, the one whose last
+   * record has the higher epoch.
+   */
   ItemProgress progress() {
     ItemProgress known = joined;
     if (known == null) {
@@ -41,11 +45,11 @@
     return known;
   }
 
-  /** Returns the records that a chain from the start reaches, by their ends. */
-  private TreeMap<ProgressLink, JobRecords.Gained> reached() {
-    TreeMap<ProgressLink, JobRecords.Gained> reached = new TreeMap<>();
-    // In the order of their starts each comes behind all that it may extend.
-    for (JobRecords.Gained each : recordsByStart.values()) {
+  /** Returns the records that a chain from the start reaches, keyed by their ends. */
+  private TreeMap<ProgressLink, JobRecords.Progress> reached() {
+    TreeMap<ProgressLink, JobRecords.Progress> reached = new TreeMap<>();
+    // In the order of their start points, each record follows all records that it may extend.
+    for (JobRecords.Progress each : recordsByStart.values()) {
       if (each.after().equals(ProgressLink.START) || reached.containsKey(each.after())) {
         reached.putIfAbsent(each.upTo(), each);
       }
@@ -53,7 +57,7 @@
     return reached;
   }
 
-  private static ItemProgress join(TreeMap<ProgressLink, JobRecords.Gained> reached) {
+  private static ItemProgress join(TreeMap<ProgressLink, JobRecords.Progress> reached) {
     if (reached.isEmpty()) {
       return ItemProgress.NONE;
     }
@@ -61,7 +65,7 @@
     ProgressLink end = reached.lastKey();
     ProgressLink at = end;
     while (!at.equals(ProgressLink.START)) {
-      JobRecords.Gained last = reached.get(at);
+      JobRecords.Progress last = reached.get(at);
       texts.addFirst(last.text());
       at = last.after();
     }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/Relinquishment.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/Relinquishment.java
@@ -11,37 +11,38 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Leaves what a process that no longer holds a partition has of it to the next holder.
+ * Hands the unwritten records of a former holder of a partition over to the next holder.
  *
- * <p>Failure: the store is away for seconds, items end meanwhile, and another process holds the
- * partition when it is back. It shows as items that run a second time, whole, because their results
- * were refused with everything else that the former holder wrote. Guard: a result is written once
- * more without a position and without the former holder's epoch; whoever holds the partition gives
- * it one, unless the item has one by then.
+ * <p>The store may be unavailable for seconds while items complete, and another process may hold
+ * the partition when the store is back. The store then refuses the former holder's results, as it
+ * refuses all appends of that holder, and the items would run a second time from the start.
+ * Therefore the former holder writes each result once more as an offer: without a position and
+ * without the former holder's epoch. The new holder lists the offered result at a position, unless
+ * the item has a result by then.
  */
 final class Relinquishment {
 
-  /** Pause before the records are written again after a failure. */
-  private static final Duration REPEAT = Duration.ofMillis(200);
+  /** Pause before a failed append is retried. */
+  private static final Duration RETRY_PAUSE = Duration.ofMillis(200);
 
-  /** Time after which they are given up; an item has run again by then. */
-  private static final Duration PATIENCE = Duration.ofSeconds(8);
+  /** Time after which the records are given up; the items have run again by then. */
+  private static final Duration GIVE_UP_AFTER = Duration.ofSeconds(8);
 
   private final JobParts parts;
   private final int partition;
-  private final Deque<List<KeyedRecord>> left;
-  private final Instant until;
+  private final Deque<List<KeyedRecord>> remainingParts;
+  private final Instant deadline;
 
   Relinquishment(JobParts parts, int partition, List<KeyedRecord> records) {
     this.parts = parts;
     this.partition = partition;
-    this.left = new ArrayDeque<>(AppendSize.parts(records));
-    this.until = parts.clock().instant().plus(PATIENCE);
+    this.remainingParts = new ArrayDeque<>(AppendSize.parts(records));
+    this.deadline = parts.clock().instant().plus(GIVE_UP_AFTER);
   }
 
-  /** Writes the records, one part after the other; taking one twice does no harm. */
+  /** Appends the records, one part after the other. Appending a part twice does no harm. */
   void write() {
-    List<KeyedRecord> records = left.peek();
+    List<KeyedRecord> records = remainingParts.peek();
     if (records == null) {
       return;
     }
@@ -51,20 +52,22 @@
         .whenCompleteAsync(
             (done, failure) -> {
               if (failure == null) {
-                logged("partition.relinquished", records.size(), null);
-                left.remove();
+                logAppend("partition.relinquished", records.size(), null);
+                remainingParts.remove();
                 write();
-              } else if (parts.clock().instant().isBefore(until)) {
-                logged("partition.relinquish.failed", records.size(), failure);
-                parts.executor().schedule(this::write, REPEAT.toMillis(), TimeUnit.MILLISECONDS);
+              } else if (parts.clock().instant().isBefore(deadline)) {
+                logAppend("partition.relinquish.failed", records.size(), failure);
+                parts
+                    .executor()
+                    .schedule(this::write, RETRY_PAUSE.toMillis(), TimeUnit.MILLISECONDS);
               } else {
-                logged("partition.relinquished.in.vain", records.size(), failure);
+                logAppend("partition.relinquished.in.vain", records.size(), failure);
               }
             },
             parts.executor());
   }
 
-  private void logged(String event, int count, @Nullable Throwable failure) {
+  private void logAppend(String event, int count, @Nullable Throwable failure) {
     parts
         .log()
         .important("job", event)
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/Restoration.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/Restoration.java
@@ -6,17 +6,20 @@
 import java.util.List;
 
 /**
- * Chooses which destroyed records a holder writes again.
+ * Selects the destroyed records that a holder writes again.
  *
- * <p>Failure: a job's records are destroyed and its holder is restarted. It would show as an
- * accepted job that nobody knows, or as a result that is another one. Guard: the holder writes them
- * again, in place of its next record of what items have gained.
+ * <p>Another writer may destroy a job's records, and the job's holder may then restart. Without a
+ * guard an accepted job would be lost, or a position would hold another result. Therefore the
+ * holder writes the records again, in place of its next append of progress records.
  */
 final class Restoration {
 
   private Restoration() {}
 
-  /** Returns what another writer destroyed and this process knows, as much as fits an append. */
+  /**
+   * Returns the records that another writer has destroyed and that this process knows, as many as
+   * fit one append.
+   */
   static List<KeyedRecord> next(JobTable table, int partition, EventLog log) {
     List<KeyedRecord> records = new ArrayList<>();
     AppendSize size = new AppendSize();
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/UnknownOutcomeResponder.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/UnknownOutcomeResponder.java
@@ -8,10 +8,14 @@
 import java.time.Duration;
 import org.jspecify.annotations.Nullable;
 
-/** Answers a caller whose call may have been carried out: no answer says that it was not. */
+/**
+ * Responder for a call that an earlier recipient may have carried out.
+ *
+ * <p>A response whose status says that the call was not carried out is replaced by a plain 502.
+ */
 final class UnknownOutcomeResponder implements Responder {
 
-  private static final int FAILED = 502;
+  private static final int UNKNOWN_OUTCOME_STATUS = 502;
 
   private final Responder caller;
 
@@ -22,7 +26,7 @@
   @Override
   public void whole(int status, HttpHeaders headers, byte[] body) {
     if (NotRunStatuses.contains(status)) {
-      caller.whole(FAILED, new DefaultHttpHeaders(), new byte[0]);
+      caller.whole(UNKNOWN_OUTCOME_STATUS, new DefaultHttpHeaders(), new byte[0]);
     } else {
       caller.whole(status, headers, body);
     }
@@ -31,7 +35,7 @@
   @Override
   public void own(int status, @Nullable Duration retryAfter) {
     if (NotRunStatuses.contains(status)) {
-      caller.own(FAILED, null);
+      caller.own(UNKNOWN_OUTCOME_STATUS, null);
     } else {
       caller.own(status, retryAfter);
     }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/package-info.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/package-info.java
@@ -1,4 +1,4 @@
-/** Jobs: accepted once, run to an end, read anywhere. */
+/** Batch jobs: accepted once, run until each item has a result, and readable at any process. */
 @NullMarked
 package io.hawthornlb.gateway.job;
 
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/relay/RelayJobPeers.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/relay/RelayJobPeers.java
@@ -59,7 +59,7 @@
   }
 
   @Override
-  public Optional<String> deputy(int partition, String holder) {
+  public Optional<String> standby(int partition, String holder) {
     return fleet.ranked(PARTITION_KEY + partition, clock.instant()).stream()
         .map(GatewayInstance::name)
         .filter(name -> !name.equals(holder))
@@ -67,7 +67,7 @@
   }
 
   @Override
-  public CompletionStage<HttpReply> ask(String name, FrontRequest request, Duration patience) {
+  public CompletionStage<HttpReply> forward(String name, FrontRequest request, Duration timeout) {
     @Nullable GatewayInstance peer = fleet.lastKnown(name);
     if (peer == null) {
       return CompletableFuture.failedFuture(
@@ -82,7 +82,7 @@
             request.uri(),
             headers,
             request.body(),
-            patience);
+            timeout);
     return transport
         .call(peer, RelayTarget.JOBS, call)
         .whenComplete(
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/relay/RelayedJobCalls.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/relay/RelayedJobCalls.java
@@ -5,7 +5,7 @@
 import io.hawthornlb.gateway.http.HttpCall;
 import io.hawthornlb.gateway.http.HttpCaller;
 import io.hawthornlb.gateway.http.HttpReply;
-import io.hawthornlb.gateway.job.JobDesk;
+import io.hawthornlb.gateway.job.JobRequestRouter;
 import io.netty.buffer.ByteBuf;
 import io.netty.handler.codec.http.DefaultHttpHeaders;
 import io.netty.handler.codec.http.HttpHeaderNames;
@@ -21,12 +21,12 @@
 /** Answers calls about jobs that peers have passed on. */
 public final class RelayedJobCalls implements HttpCaller {
 
-  private final JobDesk desk;
+  private final JobRequestRouter router;
   private final InstantSource clock;
 
-  /** Creates what answers from the jobs of a desk. */
-  public RelayedJobCalls(JobDesk desk, InstantSource clock) {
-    this.desk = desk;
+  /** Creates what answers from the jobs of a router. */
+  public RelayedJobCalls(JobRequestRouter router, InstantSource clock) {
+    this.router = router;
     this.clock = clock;
   }
 
@@ -45,13 +45,13 @@
             call.body(),
             clock.instant());
     WholeAnswer answer = new WholeAnswer();
-    LongSupplier bytes = desk.answerHere(request, answer);
+    LongSupplier bytes = router.answerLocally(request, answer);
     return answer.reply.thenApply(reply -> withSize(reply, bytes.getAsLong()));
   }
 
   private static HttpReply withSize(HttpReply reply, long bytes) {
     Map<String, String> headers = new LinkedHashMap<>(reply.headers());
-    headers.put(JobDesk.PARTITION_BYTES, String.valueOf(bytes));
+    headers.put(JobRequestRouter.PARTITION_BYTES, String.valueOf(bytes));
     return new HttpReply(reply.status(), headers, reply.body());
   }
 
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/job/FixedJobFormat.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/job/FixedJobFormat.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Format that takes each request for one call. */
+/** Format that parses every request as the same call. */
 record FixedJobFormat(JobCall next) implements JobFormat {
 
   @Override
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/job/ForeignJobRecordsTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/job/ForeignJobRecordsTest.java
@@ -19,13 +19,14 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * No job of a partition is run or can be read any more, at any process: another writer left one
- * record there that cannot be read, and reading it again and again was all that its holder did.
+ * Guards against a record of another writer that cannot be decoded and that stops a whole
+ * partition: its holder only read that record again and again, and no process could run or read any
+ * job of the partition.
  */
 class ForeignJobRecordsTest {
 
   private static final ProgressLink END = new ProgressLink(2, 1);
-  private static final byte[] NOISE = {(byte) 0xff, 0, 7};
+  private static final byte[] GARBAGE = {(byte) 0xff, 0, 7};
   private static final List<String> KINDS =
       List.of("a", "r", "e", "g", "p", "n", "f", "o", "x", "");
   private static final List<String> TAILS =
@@ -45,7 +46,7 @@
   private final JobTable table = new JobTable();
 
   @Property(tries = 1_500, seed = ForeignBytes.SEED)
-  void aGoodNeighbourHolds(@ForAll long seed) {
+  void validRecordsSurviveDamagedOnes(@ForAll long seed) {
     Random random = new Random(seed);
     List<KeyedRecord> good = records("good");
     List<KeyedRecord> all = new ArrayList<>(good);
@@ -63,7 +64,7 @@
     ForeignBytes.read(
         length,
         () -> {
-          all.forEach(read::take);
+          all.forEach(read::apply);
           read.find("bad").ifPresent(job -> job.page(0, 1_000));
           return read;
         });
@@ -74,104 +75,119 @@
     assertTrue(job.ended());
   }
 
-  /** An accepted job is gone at processes that had read it. */
+  /** Guards against an accepted job that disappears at processes that had read it. */
   @Test
-  void aJobThatIsKnownStaysWhenItsRecordTurnsUnreadable() {
-    records("j").forEach(table::take);
-    table.take(new KeyedRecord("a/j/0", NOISE));
+  void aKnownJobStaysWhenItsRecordIsDestroyed() {
+    records("j").forEach(table::apply);
+    table.apply(new KeyedRecord("a/j/0", GARBAGE));
     assertTrue(table.find("j").isPresent());
   }
 
-  /** A job of which another writer destroyed the record works again once it is written anew. */
+  /**
+   * Checks that a job whose record another writer has destroyed is known again once the record is
+   * written again.
+   */
   @Test
-  void aJobIsKnownOnceItsRecordIsWrittenAnew() {
-    table.take(new KeyedRecord("a/j/0", NOISE));
-    table.take(new KeyedRecord("a/j/1", NOISE));
+  void aJobIsKnownOnceItsRecordIsWrittenAgain() {
+    table.apply(new KeyedRecord("a/j/0", GARBAGE));
+    table.apply(new KeyedRecord("a/j/1", GARBAGE));
     assertFalse(table.find("j").isPresent());
-    records("j").forEach(table::take);
+    records("j").forEach(table::apply);
     assertTrue(table.find("j").isPresent());
   }
 
-  /** The same for a job of several records, one of which holds bytes of another writer. */
+  /**
+   * Checks the same for a job of several records, one of which contains bytes of another writer.
+   */
   @Test
-  void aJobOfSeveralRecordsIsKnownOnceItIsWrittenAnew() {
+  void aJobOfSeveralRecordsIsKnownOnceItIsWrittenAgain() {
     List<JobItem> items =
         List.of(new JobItem("i1", "/p/1", Map.of(), new byte[2 * JobRecords.PART_BYTES]));
     Job job = new Job("j", "h.example", Instant.EPOCH, items);
     List<KeyedRecord> records = JobRecords.accepted(job);
     byte[] foreign = records.get(0).value().clone();
     Arrays.fill(foreign, 20, 60, (byte) 0xc1);
-    table.take(new KeyedRecord(records.get(0).key(), foreign));
-    records.stream().skip(1).forEach(table::take);
+    table.apply(new KeyedRecord(records.get(0).key(), foreign));
+    records.stream().skip(1).forEach(table::apply);
     assertFalse(table.find("j").isPresent());
-    assertTrue(table.unsure("j"));
-    records.forEach(table::take);
+    assertTrue(table.maybeAccepted("j"));
+    records.forEach(table::apply);
     assertTrue(table.find("j").isPresent());
-    assertFalse(table.unsure("j"));
+    assertFalse(table.maybeAccepted("j"));
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"r/j/7", "r/j/-1", "r/j/2000000000"})
-  void aResultBeyondTheItemsIsNone(String key) {
-    records("j").forEach(table::take);
+  void aResultBeyondTheItemsIsIgnored(String key) {
+    records("j").forEach(table::apply);
     KeyedRecord result = JobRecords.result("j", 0, new JobResult("i2", true, "two"));
-    table.take(new KeyedRecord(key, result.value()));
+    table.apply(new KeyedRecord(key, result.value()));
     assertFalse(table.find("j").orElseThrow().listed("i2"));
   }
 
-  /** A job seems complete and lacks a result, since one names an item of another job. */
+  /**
+   * Guards against a job that seems complete and lacks a result, because one result names an item
+   * of another job.
+   */
   @Test
-  void aResultOfAnotherJobsItemIsNone() {
-    records("j").forEach(table::take);
-    table.take(JobRecords.result("j", 1, new JobResult("other", true, "two")));
+  void aResultOfAnotherJobsItemIsIgnored() {
+    records("j").forEach(table::apply);
+    table.apply(JobRecords.result("j", 1, new JobResult("other", true, "two")));
     assertEquals(1, table.find("j").orElseThrow().resultCount());
     assertFalse(table.find("j").orElseThrow().complete());
   }
 
-  /** A job stops running: its record of an end was none. */
+  /** Guards against a job that stops running because of an end record that does not mark an end. */
   @Test
-  void bytesThatAreNoEndEndNothing() {
-    JobRecords.accepted(job("j")).forEach(table::take);
-    table.take(new KeyedRecord("e/j", NOISE));
+  void anInvalidEndRecordDoesNotEndTheJob() {
+    JobRecords.accepted(job("j")).forEach(table::apply);
+    table.apply(new KeyedRecord("e/j", GARBAGE));
     assertFalse(table.find("j").orElseThrow().ended());
   }
 
   /**
-   * A holder writes the same records again and again, since none of them replaces a foreign one.
+   * Guards against a holder that writes the same records again and again, because none of them
+   * replaces the foreign one.
    */
   @Test
-  void restoresNoRecordUnderAKeyThatItNeverWrites() {
-    records("j").forEach(table::take);
+  void doesNotRestoreRecordsUnderKeysThatItNeverWrites() {
+    records("j").forEach(table::apply);
     for (String key :
         List.of("a/j/7", "r/j/00", "r/j/1", "p/j/i1/x", "g/j/i1/x/1", "e/k", "a/k/0")) {
-      table.take(new KeyedRecord(key, NOISE));
+      table.apply(new KeyedRecord(key, GARBAGE));
     }
     assertEquals(List.of(), table.restorations());
-    table.take(new KeyedRecord("r/j/0", NOISE));
-    table.take(new KeyedRecord("e/j", NOISE));
+    table.apply(new KeyedRecord("r/j/0", GARBAGE));
+    table.apply(new KeyedRecord("e/j", GARBAGE));
     assertEquals(2, table.restorations().size());
-    table.restorations().forEach(each -> each.forEach(table::take));
+    table.restorations().forEach(each -> each.forEach(table::apply));
     assertEquals(List.of(), table.restorations());
   }
 
-  /** An item is given up though no endpoint failed at it: the record names another item. */
+  /**
+   * Guards against an item that is given up although no endpoint failed at it, because the record
+   * names another item.
+   */
   @Test
-  void aRecordWhoseItemDiffersFromItsKeyIsNone() {
-    JobRecords.accepted(job("j")).forEach(table::take);
+  void aRecordWhoseItemDiffersFromItsKeyIsIgnored() {
+    JobRecords.accepted(job("j")).forEach(table::apply);
     KeyedRecord failures = JobRecords.failures("j", new JobRecords.Failures("i2", 9), 1);
-    table.take(new KeyedRecord("f/j/i1", failures.value()));
-    table.take(new KeyedRecord("n/j/i1/1", failures.value()));
+    table.apply(new KeyedRecord("f/j/i1", failures.value()));
+    table.apply(new KeyedRecord("n/j/i1/1", failures.value()));
     assertEquals(0, table.find("j").orElseThrow().failures("i2"));
     assertEquals(0, table.find("j").orElseThrow().failures("i1"));
   }
 
-  /** A text goes on with a run that was not asked to: a record stands under another one's key. */
+  /**
+   * Guards against a text that continues with an attempt that was not asked to continue it, because
+   * a record is stored under the key of another.
+   */
   @ParameterizedTest
   @ValueSource(strings = {"g/j/i2/00000001/1", "g/j/i2/00000000/2", "g/j/i2/0/1", "g/j/i1/0/1"})
-  void progressUnderAKeyOfAnotherPlaceIsNone(String key) {
-    JobRecords.accepted(job("j")).forEach(table::take);
-    JobRecords.Gained gained = new JobRecords.Gained("i2", ProgressLink.START, END, "two");
-    table.take(new KeyedRecord(key, JobRecords.gained("j", gained).value()));
+  void progressUnderTheKeyOfAnotherPointIsIgnored(String key) {
+    JobRecords.accepted(job("j")).forEach(table::apply);
+    JobRecords.Progress progress = new JobRecords.Progress("i2", ProgressLink.START, END, "two");
+    table.apply(new KeyedRecord(key, JobRecords.progress("j", progress).value()));
     assertEquals(ItemProgress.NONE, table.find("j").orElseThrow().progress("i2"));
     assertEquals(ItemProgress.NONE, table.find("j").orElseThrow().progress("i1"));
   }
@@ -180,7 +196,7 @@
     List<KeyedRecord> records = new ArrayList<>(JobRecords.accepted(job(jobId)));
     records.add(JobRecords.result(jobId, 0, new JobResult("i1", true, "one")));
     records.add(
-        JobRecords.gained(jobId, new JobRecords.Gained("i2", ProgressLink.START, END, "two")));
+        JobRecords.progress(jobId, new JobRecords.Progress("i2", ProgressLink.START, END, "two")));
     records.add(JobRecords.failures(jobId, new JobRecords.Failures("i2", 3), 1));
     records.add(JobRecords.end(jobId));
     return records;
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/job/HolderSelectionTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/job/HolderSelectionTest.java
@@ -7,8 +7,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * No report of a large fleet is done while its gateways are restarted in turn: each start and stop
- * moves partitions, and items are moved more often than they get ahead.
+ * Guards against a rolling restart of a large fleet that keeps all jobs from completing: each start
+ * and stop of a gateway moves partitions, and items are moved more often than they make progress.
  */
 class HolderSelectionTest {
 
@@ -16,20 +16,20 @@
   private final Instant now = Instant.parse("2026-01-01T00:00:00Z");
 
   @Test
-  void takesAsManyMembersAsThereArePartitions() {
+  void admitsAsManyMembersAsThereArePartitions() {
     assertTrue(selection.member(23, now));
     assertFalse(new HolderSelection(24).member(24, now));
   }
 
   @Test
-  void keepsAMemberThatRanksALittleBehind() {
+  void keepsAMemberWithinTheExtraRanks() {
     selection.member(0, now);
     assertTrue(selection.member(27, now.plusSeconds(60)));
     assertTrue(selection.member(27, now.plusSeconds(120)));
   }
 
   @Test
-  void letsAMemberGoThatRanksFarBehindForLong() {
+  void removesAMemberThatRanksFarBehindForLong() {
     selection.member(0, now);
     assertTrue(selection.member(40, now));
     assertTrue(selection.member(40, now.plusSeconds(9)));
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/job/ItemRecorder.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/job/ItemRecorder.java
@@ -5,12 +5,12 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Optional;
 
-/** An item at one holder, as far as its events and their records go. */
+/** Output and progress records of an item at one holder. */
 final class ItemRecorder {
 
   private final ItemOutput output;
 
-  /** Creates an item that goes on behind what its holder has loaded. */
+  /** Creates an item that continues from the progress that its holder has loaded. */
   ItemRecorder(String itemId, ItemProgress loaded, long epoch) {
     this.output = new ItemOutput(itemId, loaded, epoch);
   }
@@ -19,22 +19,22 @@
     return output.lastEventId();
   }
 
-  /** Takes events of one run, all with the same data. */
-  void take(long first, long last, String data) {
+  /** Appends events of one attempt, all with the same data. */
+  void append(long first, long last, String data) {
     for (long number = first; number <= last; number++) {
       byte[] bytes =
           ("id: " + number + "\ndata: " + data + "\n\n").getBytes(StandardCharsets.UTF_8);
-      output.take(new StreamEvent(number, bytes));
+      output.append(new StreamEvent(number, bytes));
     }
   }
 
-  /** Returns a record of what came since the last one. */
+  /** Returns a record of the progress since the last record. */
   KeyedRecord record(String jobId) {
     return recordIfAny(jobId).orElseThrow();
   }
 
-  /** The same, if anything came. */
+  /** Returns a record of the progress since the last record; empty if there is none. */
   Optional<KeyedRecord> recordIfAny(String jobId) {
-    return output.gained(1).map(gained -> JobRecords.gained(jobId, gained));
+    return output.newProgress(1).map(progress -> JobRecords.progress(jobId, progress));
   }
 }
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/job/JobAgesTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/job/JobAgesTest.java
@@ -10,7 +10,7 @@
 
 class JobAgesTest {
 
-  private static final Duration KEPT = Duration.ofSeconds(60);
+  private static final Duration RETENTION = Duration.ofSeconds(60);
 
   private final VirtualLoop time = new VirtualLoop();
   private final JobAges ages = new JobAges(time);
@@ -20,29 +20,29 @@
   }
 
   @Test
-  void countsFromWhenThisProcessKnewTheJob() {
+  void measuresAgeFromWhenThisProcessFirstKnewTheJob() {
     Job job = job(Duration.ofMinutes(5));
-    ages.note(List.of(job));
-    time.standStill(KEPT);
-    assertFalse(ages.olderThan(job, KEPT));
+    ages.update(List.of(job));
+    time.standStill(RETENTION);
+    assertFalse(ages.olderThan(job, RETENTION));
     time.standStill(Duration.ofMillis(1));
-    assertTrue(ages.olderThan(job, KEPT));
+    assertTrue(ages.olderThan(job, RETENTION));
   }
 
   @Test
-  void takesAJobFromTheFutureForOneOfNow() {
+  void treatsAJobFromTheFutureAsNew() {
     Job job = job(Duration.ofMinutes(-5));
-    ages.note(List.of(job));
-    time.standStill(KEPT.plusMillis(1));
-    assertTrue(ages.olderThan(job, KEPT));
+    ages.update(List.of(job));
+    time.standStill(RETENTION.plusMillis(1));
+    assertTrue(ages.olderThan(job, RETENTION));
   }
 
   @Test
-  void forgetsJobsThatAreGone() {
+  void removesJobsThatNoLongerExist() {
     Job job = job(Duration.ZERO);
-    ages.note(List.of(job));
-    time.standStill(KEPT.plusMillis(1));
-    ages.note(List.of());
-    assertFalse(ages.olderThan(job, KEPT));
+    ages.update(List.of(job));
+    time.standStill(RETENTION.plusMillis(1));
+    ages.update(List.of());
+    assertFalse(ages.olderThan(job, RETENTION));
   }
 }
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/job/JobFixture.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/job/JobFixture.java
@@ -27,10 +27,10 @@
 import java.util.List;
 import java.util.Optional;
 
-/** What jobs need beside a log, an event loop and a clock. */
+/** Collaborators that tests of jobs need in addition to a log, an event loop and a clock. */
 final class JobFixture {
 
-  /** The one endpoint to which all items go. */
+  /** Id of the only endpoint, which gets all items. */
   static final String ENDPOINT = "e0";
 
   private static final HeaderNames NAMES =
@@ -45,7 +45,7 @@
 
   private JobFixture() {}
 
-  /** Returns a configuration whose one route takes jobs. */
+  /** Returns a configuration with one route, which accepts jobs. */
   static ConfigHolder config(int maxAttempts) {
     Route route =
         new Route(
@@ -66,7 +66,7 @@
     return config;
   }
 
-  /** Returns a directory of the one endpoint. */
+  /** Returns a directory with the only endpoint. */
   static EndpointDirectory directory(InetSocketAddress address) {
     EndpointDirectory directory = new EndpointDirectory();
     directory.put(new EndpointRecord(ENDPOINT, "engine", address, "a", 8, false));
@@ -94,7 +94,7 @@
         new GatewayMetrics());
   }
 
-  /** Notices that reach nobody. */
+  /** Notices that are not sent to any process. */
   static final class SilentNotices implements HoldNotices {
 
     @Override
@@ -104,7 +104,7 @@
     public void onHeld(Listener listener) {}
   }
 
-  /** Format that takes no request for a call about a job. */
+  /** Format that parses no request as a call about a job. */
   static final class NoCalls implements JobFormat {
 
     @Override
@@ -128,7 +128,7 @@
     }
   }
 
-  /** Grants each request at once. */
+  /** Slot client that grants each request immediately. */
   private static final class FreeSlots implements SlotClient {
 
     private long numbers;
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/job/JobReadLoadTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/job/JobReadLoadTest.java
@@ -23,8 +23,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Replays what callers do after all instances lost power: each job is read at some of them, and
- * none has read anything of the log yet.
+ * Replays the reads of callers after all instances lost power: each job is read at several
+ * instances, and no instance has read anything of the log so far.
  */
 class JobReadLoadTest {
 
@@ -37,27 +37,27 @@
   private final VirtualLoop time = new VirtualLoop();
   private final PagedLogStore store = new PagedLogStore(time.loop(), PARTITIONS, 500);
   private final List<JobReplicas> replicas = new ArrayList<>();
-  private final Map<Integer, String> owners = new HashMap<>();
+  private final Map<Integer, String> holders = new HashMap<>();
 
   /**
-   * A buyer's reports cannot be read for a minute after a power cut. Each of 89 instances loads
-   * every partition for the first caller that asks it, through links of 21 Mbit/s and one store.
+   * Guards against jobs that cannot be read for a minute after a power cut. Each of 89 instances
+   * loaded every partition for its first caller, through links of 21 Mbit/s and from one store.
    */
   @Test
-  void readsTheLogOnceInPlaceOfOnceAnInstance() {
+  void readsTheLogOnceInsteadOfOncePerInstance() {
     long once = fill();
-    long naive = read(false);
-    long asked = read(true);
-    assertTrue(naive > 50 * once, naive + " bytes of " + once);
-    assertEquals(once, asked);
+    long local = read(false);
+    long forwarded = read(true);
+    assertTrue(local > 50 * once, local + " bytes of " + once);
+    assertEquals(once, forwarded);
   }
 
   private long fill() {
     long bytes = 0;
-    JobReplicas places = new JobReplicas(store, PARTITIONS, time.loop());
+    JobReplicas partitioning = new JobReplicas(store, PARTITIONS, time.loop());
     for (int number = 0; number < JOBS; number++) {
       String id = "job" + number;
-      int partition = places.partition(id);
+      int partition = partitioning.partition(id);
       List<JobItem> items = List.of(new JobItem("i", "/p", Map.of(), new byte[0]));
       Job job = new Job(id, "h", Instant.EPOCH, items);
       var records = new ArrayList<>(JobRecords.accepted(job));
@@ -68,26 +68,29 @@
     return bytes;
   }
 
-  /** Returns the bytes that the store hands out while all jobs are read at several instances. */
-  private long read(boolean askHolders) {
+  /**
+   * Returns the number of bytes that the store delivers while all jobs are read at several
+   * instances.
+   */
+  private long read(boolean forwardToHolders) {
     replicas.clear();
     IntStream.range(0, INSTANCES)
         .forEach(any -> replicas.add(new JobReplicas(store, PARTITIONS, time.loop())));
-    IntStream.range(0, PARTITIONS).forEach(partition -> owners.put(partition, name(partition)));
+    IntStream.range(0, PARTITIONS).forEach(partition -> holders.put(partition, name(partition)));
     long before = store.listedBytes();
     int served = 0;
     for (int number = 0; number < JOBS * READS_OF_A_JOB; number++) {
       String id = "job" + number % JOBS;
-      RecordingResponder answer = new RecordingResponder();
+      RecordingResponder response = new RecordingResponder();
       int instance = number * 31 % INSTANCES;
       FixedJobFormat format = new FixedJobFormat(new JobCall.Read(id, 0, Duration.ZERO));
-      if (askHolders) {
-        desk(instance, format).handle(request(), answer);
+      if (forwardToHolders) {
+        router(instance, format).handle(request(), response);
       } else {
-        service(instance, format).answer(format.next(), request(), answer);
+        service(instance, format).answer(format.next(), request(), response);
       }
       time.advance(Duration.ofMillis(2));
-      served += answer.status() == 200 ? 1 : 0;
+      served += response.status() == 200 ? 1 : 0;
     }
     assertEquals(JOBS * READS_OF_A_JOB, served);
     return store.listedBytes() - before;
@@ -98,14 +101,14 @@
         replicas.get(instance), store, format, time.loop(), time, new SilentEventLog());
   }
 
-  private JobDesk desk(int instance, FixedJobFormat format) {
-    return new JobDesk(
+  private JobRequestRouter router(int instance, FixedJobFormat format) {
+    return new JobRequestRouter(
         replicas.get(instance),
         service(instance, format),
         format,
         new Peers(instance, format),
         partition -> partition == instance,
-        () -> CompletableFuture.completedFuture(owners),
+        () -> CompletableFuture.completedFuture(holders),
         time.loop(),
         time,
         new SilentEventLog());
@@ -120,7 +123,7 @@
     return "g" + instance;
   }
 
-  /** Peers that all answer. */
+  /** Peers that all reply. */
   private final class Peers implements JobPeers {
 
     private final int instance;
@@ -147,24 +150,24 @@
     }
 
     @Override
-    public Optional<String> deputy(int partition, String holder) {
+    public Optional<String> standby(int partition, String holder) {
       return Optional.empty();
     }
 
     @Override
-    public CompletionStage<HttpReply> ask(String name, FrontRequest request, Duration patience) {
-      RecordingResponder answer = new RecordingResponder();
+    public CompletionStage<HttpReply> forward(String name, FrontRequest request, Duration timeout) {
+      RecordingResponder response = new RecordingResponder();
       int holder = Integer.parseInt(name.substring(1));
       String id = format.next().jobId();
-      service(holder, format).answer(format.next(), request, answer);
+      service(holder, format).answer(format.next(), request, response);
       time.advance(Duration.ofMillis(1));
       return CompletableFuture.completedFuture(
           new HttpReply(
-              answer.status(),
+              response.status(),
               Map.of(
-                  JobDesk.PARTITION_BYTES,
+                  JobRequestRouter.PARTITION_BYTES,
                   String.valueOf(replicas.get(holder).bytes(replicas.get(holder).partition(id)))),
-              answer.text().getBytes()));
+              response.text().getBytes()));
     }
   }
 }
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/job/JobReplicaTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/job/JobReplicaTest.java
@@ -22,15 +22,15 @@
   private final VirtualLoop time = new VirtualLoop();
   private final PagedLogStore store = new PagedLogStore(time.loop(), 1, 2);
   private final JobReplica replica =
-      new JobReplica(store, JobReplicas.TOPIC, 0, new LoadGate(), time.loop());
+      new JobReplica(store, JobReplicas.TOPIC, 0, new LoadLimiter(), time.loop());
 
   /**
-   * A report is listed at two positions. A process that had not followed the log for a while took
-   * its partition over, read one page of what it had missed, and went on numbering where that page
-   * ended.
+   * Guards against a result that is listed at two positions. A process that had not read the log
+   * for a while took its partition over, read one page of the missing records, and continued to
+   * number results where that page ended.
    */
   @Test
-  void readsAllPagesUpToTheEnd() {
+  void readsAllPagesToTheEndOfTheLog() {
     refresh();
     append(JobRecords.accepted(job("j")));
     IntStream.range(0, ITEMS).forEach(this::appendResult);
@@ -39,69 +39,71 @@
   }
 
   /**
-   * A caller is told that an accepted job does not exist. The process had begun to load its list
-   * before the job was accepted elsewhere, the store was slow, and the read about the job was
-   * answered from that list.
+   * Guards against telling a caller that an accepted job does not exist. The process had begun to
+   * load its list before another process accepted the job, the store was slow, and the call about
+   * the job was answered from that list.
    */
   @Test
-  void answersNoReadFromAListThatBeganEarlier() {
+  void readsTheLogAfterAListThatBeganEarlier() {
     store.holdLists();
-    CompletableFuture<Void> early = replica.refresh().toCompletableFuture();
+    CompletableFuture<Void> earlier = replica.refresh().toCompletableFuture();
     append(JobRecords.accepted(job("j")));
-    CompletableFuture<Void> late = replica.refresh().toCompletableFuture();
-    store.letGo();
+    CompletableFuture<Void> later = replica.refresh().toCompletableFuture();
+    store.releaseLists();
     time.advance(Duration.ofMillis(1));
-    assertTrue(early.isDone());
-    assertTrue(late.isDone());
+    assertTrue(earlier.isDone());
+    assertTrue(later.isDone());
     assertTrue(replica.table().find("j").isPresent());
   }
 
   /**
-   * A result changes its position. The store forgot its history, the holder loaded the list anew,
-   * and meanwhile wrote a result that the list did not have yet; the next result got its position.
+   * Guards against a result that changes its position. The store lost its history, and the holder
+   * loaded the list again. Meanwhile the holder wrote a result that was not in the list so far, and
+   * the next result got the same position.
    */
   @Test
-  void keepsWhatWasWrittenDuringALoad() {
+  void keepsRecordsWrittenDuringALoad() {
     append(JobRecords.accepted(job("j")));
     refresh();
     store.holdLists();
-    store.forgetOnce();
+    store.loseHistoryOnce();
     replica.refresh();
     time.advance(Duration.ofMillis(1));
     KeyedRecord written = result(0);
     append(List.of(written));
-    replica.take(written);
+    replica.apply(written);
     Job known = find("j");
-    store.letGo();
+    store.releaseLists();
     time.advance(Duration.ofMillis(1));
     assertEquals(1, find("j").resultCount());
     assertEquals(1, known.resultCount());
   }
 
   /**
-   * A job that was dropped long ago fills the memory of a process for good. Its records were
-   * dropped in the part of the history that the store forgot.
+   * Guards against a deleted job that stays in the memory of a process forever. The job's records
+   * were deleted in the part of the history that the store lost.
    */
   @Test
-  void dropsJobsThatANewListLacks() {
+  void removesJobsThatAreNotInANewList() {
     append(JobRecords.accepted(job("j")));
     refresh();
     append(List.of(new KeyedRecord(JobRecords.accepted(job("j")).get(0).key(), null)));
     append(JobRecords.accepted(job("k")));
-    store.forgetOnce();
+    store.loseHistoryOnce();
     refresh();
     assertFalse(replica.table().find("j").isPresent());
     assertTrue(replica.table().find("k").isPresent());
   }
 
   /**
-   * A job cannot be read at the end of the day. Its partition had more pages than came in a row
-   * without a failure over a small link, and each failure began the load with the first page.
+   * Guards against a job that cannot be read at the end of the day. Its partition had more pages
+   * than arrive in a row without a failure over a slow link, and each failure restarted the load
+   * with the first page.
    */
   @Test
-  void goesOnWithALoadBehindTheLastPage() {
+  void continuesALoadAfterTheLastPage() {
     PagedLogStore pages = new PagedLogStore(time.loop(), 1, 2);
-    JobReplica slow = new JobReplica(pages, JobReplicas.TOPIC, 0, new LoadGate(), time.loop());
+    JobReplica slow = new JobReplica(pages, JobReplicas.TOPIC, 0, new LoadLimiter(), time.loop());
     pages.pageKeys(2);
     for (int i = 0; i < ITEMS; i++) {
       pages.append(new AppendCall(JobReplicas.TOPIC, 0, JobRecords.accepted(job("j" + i)), null));
