--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/job/JobRunnersTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/job/JobRunnersTest.java
@@ -30,11 +30,12 @@
   private final InMemoryLogStore store = new InMemoryLogStore(time.loop(), 2);
 
   /**
-   * A bay is listed at two positions. A holder was frozen, another one took over and listed the
-   * bay, and the first one woke and listed it once more where it thought the list ended.
+   * Guards against a result that is listed at two positions. A holder was frozen, another process
+   * took the partition over and listed the result, and the former holder woke up and listed the
+   * result again at the end of the list that it knew.
    */
   @Test
-  void refusesWhatAFormerHolderWrites() {
+  void refusesAppendsOfAFormerHolder() {
     List<KeyedRecord> results =
         List.of(JobRecords.result("j", 0, new JobResult("i1", true, "one")));
     store.append(call(List.of(), new FencedWriter("w", 1, 0)));
@@ -46,9 +47,12 @@
     assertEquals(StoreException.Kind.FENCED, refused.kind());
   }
 
-  /** An outcome is listed twice because the answer of its append was lost and it was sent again. */
+  /**
+   * Guards against a result that is listed twice, because the response to its append was lost and
+   * the append was sent again.
+   */
   @Test
-  void carriesARepeatedAppendOutOnce() {
+  void carriesOutARepeatedAppendOnce() {
     List<KeyedRecord> results =
         List.of(JobRecords.result("j", 0, new JobResult("i1", true, "one")));
     store.append(call(results, new FencedWriter("w", 1, 0)));
@@ -57,11 +61,11 @@
   }
 
   /**
-   * A caller reads eight results at one process and none at the next one, which had not followed
-   * the log since.
+   * Guards against a caller that reads eight results at one process and none at the next, which had
+   * not read the log since.
    */
   @Test
-  void readsToTheEndBeforeItSaysThatThereIsNothing() {
+  void findsNewResultsAfterARefresh() {
     JobReplicas replicas = new JobReplicas(store, 2, time.loop());
     int partition = replicas.partition("j");
     JobReplica replica = replicas.of("j");
@@ -79,11 +83,11 @@
   }
 
   /**
-   * Reports of a large fleet stand still for a moment with each restart of any gateway: it took
-   * itself for the only one, joined those that share the partitions, and all of them moved.
+   * Guards against a restart of any gateway that moves all partitions and interrupts the jobs of a
+   * large fleet. The gateway took itself for the only process of the fleet and joined the group.
    */
   @Test
-  void joinsNobodyBeforeTheFleetIsKnown() {
+  void doesNotJoinTheGroupBeforeTheFleetIsKnown() {
     OptionalInt[] rank = {OptionalInt.empty()};
     JobRunners runners =
         new JobRunners(
@@ -102,13 +106,13 @@
   }
 
   /**
-   * A result that a caller has read is nowhere later: a process left its partition and held it
-   * anew, and the store took what it wrote for a repeat of what it had written before.
+   * Guards against the loss of a result that a caller has read. A process left its partition and
+   * held it again, and the store took the process's appends for repeats of its earlier ones.
    */
   @Test
-  void holdsAPartitionAnewUnderALaterEpoch() {
+  void holdsAPartitionAgainUnderAHigherEpoch() {
     List<Long> epochs = new ArrayList<>();
-    InMemoryLogStore deaf =
+    InMemoryLogStore ignoresLeave =
         new InMemoryLogStore(time.loop(), 1) {
           @Override
           public CompletionStage<Appended> append(AppendCall call) {
@@ -119,13 +123,14 @@
           @Override
           public CompletionStage<Void> leave(String name, String member) {
             return CompletableFuture.failedFuture(
-                new StoreException(StoreException.Kind.UNKNOWN, "cut"));
+                new StoreException(StoreException.Kind.UNKNOWN, "connection cut"));
           }
         };
     int[] rank = {0};
     JobRunners runners =
         new JobRunners(
-            JobFixture.parts(deaf, time.loop(), time, new ConfigHolder(), new EndpointDirectory()),
+            JobFixture.parts(
+                ignoresLeave, time.loop(), time, new ConfigHolder(), new EndpointDirectory()),
             new JobFixture.NoCalls(),
             new JobFixture.SilentNotices(),
             new ScriptedJobPeers("g1"),
@@ -147,7 +152,7 @@
   }
 
   @Test
-  void spreadsJobsOverAllPartitions() {
+  void distributesJobsOverAllPartitions() {
     JobReplicas replicas = new JobReplicas(store, 12, time.loop());
     long used =
         IntStream.range(0, 200)
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/job/JobServiceTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/job/JobServiceTest.java
@@ -33,7 +33,7 @@
   private final FailingStore store = new FailingStore(time);
   private final JobReplicas replicas = new JobReplicas(store, 1, time.loop());
 
-  /** Log that fails as the test says, and counts reads. */
+  /** Log whose failures the test sets, and which counts reads. */
   private static final class FailingStore extends InMemoryLogStore {
 
     private final Deque<StoreException.Kind> appendFailures = new ArrayDeque<>();
@@ -48,7 +48,7 @@
       StoreException.Kind failure = appendFailures.poll();
       return failure == null
           ? super.append(call)
-          : CompletableFuture.failedFuture(new StoreException(failure, "as told"));
+          : CompletableFuture.failedFuture(new StoreException(failure, "failed by the test"));
     }
 
     @Override
@@ -59,55 +59,60 @@
   }
 
   /**
-   * A caller is told that its reports will not run, and they run. The first append got no answer
-   * but was carried out; the second try was refused by a store that had gone away, and its refusal
-   * was passed on.
+   * Guards against telling a caller that its job will not run, although the job runs. The first
+   * append got no response but was carried out. The store was unavailable to the second attempt,
+   * and this refusal was passed on to the caller.
    */
   @Test
-  void makesNoPromiseAfterAnAppendThatMayHaveHappened() {
+  void respondsWith502AfterAnAppendThatMayHaveBeenCarriedOut() {
     store.appendFailures.add(StoreException.Kind.UNKNOWN);
     store.appendFailures.addAll(Collections.nCopies(100, StoreException.Kind.NOT_DONE));
-    RecordingResponder answer = handle(new JobCall.Submit("j", ITEMS));
+    RecordingResponder response = handle(new JobCall.Submit("j", ITEMS));
     time.advance(Duration.ofMillis(3_500));
-    assertEquals(502, answer.status());
-    assertNull(answer.retryAfter());
+    assertEquals(502, response.status());
+    assertNull(response.retryAfter());
   }
 
-  /** Guards against a store that answers errors and gets each job once a round trip. */
+  /**
+   * Guards against sending each job to the store once a round trip while the store responds with
+   * errors.
+   */
   @Test
-  void pausesBetweenAppendsThatAreAnsweredByErrors() {
+  void pausesBetweenAppendsThatFail() {
     store.appendFailures.addAll(Collections.nCopies(1_000, StoreException.Kind.UNKNOWN));
-    RecordingResponder answer = handle(new JobCall.Submit("j", ITEMS));
+    RecordingResponder response = handle(new JobCall.Submit("j", ITEMS));
     time.advance(Duration.ofMillis(3_500));
-    assertEquals(502, answer.status());
+    assertEquals(502, response.status());
     int appends = 1_000 - store.appendFailures.size();
     assertTrue(appends <= 17, appends + " appends in 3 s");
   }
 
   /**
-   * A buyer's reports are refused although the store is back two seconds later. The gateway refused
-   * them at once, the caller came back while the store was still away, and that was its last try.
+   * Guards against refusing a job although the store is back two seconds later. The gateway refused
+   * the job at once, the caller retried while the store was still unavailable, and that was the
+   * caller's last attempt.
    */
   @Test
   void acceptsAJobOnceAShortOutageEnds() {
     store.appendFailures.addAll(Collections.nCopies(9, StoreException.Kind.NOT_DONE));
-    RecordingResponder answer = handle(new JobCall.Submit("j", ITEMS));
+    RecordingResponder response = handle(new JobCall.Submit("j", ITEMS));
     time.advance(Duration.ofMillis(2_100));
-    assertEquals(202, answer.status());
+    assertEquals(202, response.status());
   }
 
   @Test
-  void saysWhenToComeBackAfterAnAppendThatDidNotHappen() {
+  void sendsARetryDelayAfterAnAppendThatWasNotCarriedOut() {
     store.appendFailures.addAll(Collections.nCopies(100, StoreException.Kind.NOT_DONE));
-    RecordingResponder answer = handle(new JobCall.Submit("j", ITEMS));
+    RecordingResponder response = handle(new JobCall.Submit("j", ITEMS));
     time.advance(Duration.ofMillis(3_300));
-    assertEquals(503, answer.status());
-    assertNotNull(answer.retryAfter());
+    assertEquals(503, response.status());
+    assertNotNull(response.retryAfter());
   }
 
   /**
-   * Callers that wait for results cost the store twice the calls that they need: each wait that
-   * ended without one was followed by a second read, although the first had reached the end.
+   * Guards against waits for results that make twice the calls to the store that they need. Each
+   * wait that ended without a result was followed by a second read, although the first had reached
+   * the end of the log.
    */
   @Test
   void readsOnceForAWaitThatEndsWithoutAResult() {
@@ -115,80 +120,82 @@
     handle(new JobCall.Read("j", 0, Duration.ZERO));
     time.advance(Duration.ofMillis(5));
     store.reads = 0;
-    RecordingResponder answer = handle(new JobCall.Read("j", 0, Duration.ofSeconds(1)));
+    RecordingResponder response = handle(new JobCall.Read("j", 0, Duration.ofSeconds(1)));
     time.advance(Duration.ofMillis(1_100));
-    assertEquals(200, answer.status());
+    assertEquals(200, response.status());
     assertEquals(1, store.reads);
   }
 
   /**
-   * A caller hears that its job, which was accepted, does not exist: another writer had destroyed
-   * the job's record, and a process that read the log anew knew nothing else of it. Once the caller
-   * sends the job again it runs.
+   * Guards against telling a caller that its accepted job does not exist. Another writer had
+   * destroyed the job's record, and a process that loaded the log afterwards knew nothing else of
+   * the job. Once the caller submits the job again, the job runs.
    */
   @Test
-  void doesNotSayThatAJobIsUnknownWhoseRecordCannotBeRead() {
+  void respondsWith503ForAJobWhoseRecordCannotBeDecoded() {
     LogStore.KeyedRecord foreign = new LogStore.KeyedRecord("a/j/0", new byte[] {(byte) 0xff});
     store.append(new LogStore.AppendCall(JobReplicas.TOPIC, 0, List.of(foreign), null));
-    RecordingResponder lost = handle(new JobCall.Read("j", 0, Duration.ZERO));
+    RecordingResponder damaged = handle(new JobCall.Read("j", 0, Duration.ZERO));
     RecordingResponder unknown = handle(new JobCall.Read("k", 0, Duration.ZERO));
     time.advance(Duration.ofMillis(10));
-    assertEquals(503, lost.status());
+    assertEquals(503, damaged.status());
     assertEquals(404, unknown.status());
-    RecordingResponder again = handle(new JobCall.Submit("j", ITEMS));
+    RecordingResponder resubmitted = handle(new JobCall.Submit("j", ITEMS));
     time.advance(Duration.ofMillis(10));
-    assertEquals(202, again.status());
+    assertEquals(202, resubmitted.status());
     RecordingResponder found = handle(new JobCall.Read("j", 0, Duration.ZERO));
     time.advance(Duration.ofMillis(10));
     assertEquals(200, found.status());
   }
 
   @Test
-  void waitsForAResultThatComesInTime() {
+  void waitsForAResultThatArrivesInTime() {
     handle(new JobCall.Submit("j", ITEMS));
     time.advance(Duration.ofMillis(5));
-    RecordingResponder answer = handle(new JobCall.Read("j", 0, Duration.ofSeconds(1)));
+    RecordingResponder response = handle(new JobCall.Read("j", 0, Duration.ofSeconds(1)));
     time.advance(Duration.ofMillis(300));
-    assertEquals(0, answer.status());
+    assertEquals(0, response.status());
     List<LogStore.KeyedRecord> results =
         List.of(JobRecords.result("j", 0, new JobResult("i1", true, "text")));
     store.append(new LogStore.AppendCall(JobReplicas.TOPIC, 0, results, null));
     time.advance(Duration.ofMillis(20));
-    assertEquals(200, answer.status());
-    assertEquals("1 of 1 from 0", answer.text());
+    assertEquals(200, response.status());
+    assertEquals("1 of 1 from 0", response.text());
   }
 
   /**
-   * Callers that wait for results cost the store a call each, again and again: each record of the
-   * partition ended the reads of all of them. The holder reads on anyway.
+   * Guards against waits for results that make one call to the store for each caller, again and
+   * again, since each record of the partition ended the reads of all callers. The holder reads the
+   * log continuously anyway.
    */
   @Test
-  void waitsWithTheReadsOfTheHolder() {
+  void waitsForTheReadsOfTheHolder() {
     handle(new JobCall.Submit("j", ITEMS));
     time.advance(Duration.ofMillis(5));
-    followForever();
+    readContinuously();
     time.advance(Duration.ofMillis(5));
     store.reads = 0;
-    List<RecordingResponder> answers =
+    List<RecordingResponder> responses =
         IntStream.range(0, 20)
             .mapToObj(any -> handle(new JobCall.Read("j", 0, Duration.ofSeconds(1))))
             .toList();
     time.advance(Duration.ofMillis(1_100));
-    answers.forEach(answer -> assertEquals("0 of 1 from 0", answer.text()));
+    responses.forEach(response -> assertEquals("0 of 1 from 0", response.text()));
     assertTrue(store.reads <= 4, store.reads + " reads");
   }
 
   /**
-   * A result that was read is gone at the next read. That read had come to a holder which another
-   * one had replaced, and was answered by a read of the log that had begun before it.
+   * Guards against a result that a caller has read and that is missing at the next read. That read
+   * went to a holder that another process had replaced, and a read of the log that had begun before
+   * the call answered it.
    */
   @Test
-  void saysThatThereIsNothingOnlyAfterAReadThatBeganLater() {
+  void respondsWithoutAResultOnlyAfterAReadThatBeganLater() {
     handle(new JobCall.Submit("j", ITEMS));
     time.advance(Duration.ofMillis(5));
-    followForever();
+    readContinuously();
     time.advance(Duration.ofMillis(5));
-    RecordingResponder answer = handle(new JobCall.Read("j", 0, Duration.ofMillis(100)));
+    RecordingResponder response = handle(new JobCall.Read("j", 0, Duration.ofMillis(100)));
     store.append(
         new LogStore.AppendCall(
             JobReplicas.TOPIC,
@@ -196,13 +203,13 @@
             List.of(JobRecords.result("j", 0, new JobResult("i1", true, "text"))),
             null));
     time.advance(Duration.ofMillis(120));
-    assertEquals("1 of 1 from 0", answer.text());
+    assertEquals("1 of 1 from 0", response.text());
   }
 
-  private void followForever() {
+  private void readContinuously() {
     JobReplica replica = replicas.replica(0);
     replica.followed(true);
-    replica.read(Duration.ofMillis(450)).thenRun(this::followForever);
+    replica.read(Duration.ofMillis(450)).thenRun(this::readContinuously);
   }
 
   private RecordingResponder handle(JobCall call) {
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/job/LateProgressTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/job/LateProgressTest.java
@@ -27,7 +27,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Records of what an item has gained, of a holder that is none any more. */
+/** Tests progress records that arrive from a process that no longer holds the partition. */
 class LateProgressTest {
 
   private static final int MAX_ATTEMPTS = 3;
@@ -56,24 +56,30 @@
     loop.shutdownGracefully(0, 1, TimeUnit.SECONDS);
   }
 
-  /** A text joins two runs: a late record of a former holder replaced one of the holder's. */
+  /**
+   * Guards against a text that mixes two attempts, because a late record of a former holder
+   * replaced one of the present holder's records.
+   */
   @Test
-  void goesOnWithTheHoldersRunBehindALateRecord() {
+  void ignoresALateRecordOfAFormerHolder() {
     ItemRecorder former = new ItemRecorder("i1", loaded(), 1);
-    former.take(1, 10, "x");
+    former.append(1, 10, "x");
     KeyedRecord late = former.record("j");
     ItemRecorder holder = new ItemRecorder("i1", loaded(), 2);
-    holder.take(1, 10, "y");
+    holder.append(1, 10, "y");
     append(holder.record("j"));
-    holder.take(11, 20, "y");
+    holder.append(11, 20, "y");
     append(holder.record("j"));
     append(late);
     assertEquals(lines("y", 20), loaded().text());
   }
 
-  /** A text joins two runs: the first record of a former holder was refused, its second was not. */
+  /**
+   * Guards against a text that mixes two attempts, because the store refused the first record of a
+   * former holder but not its second.
+   */
   @Test
-  void joinsNoRecordWhoseFormerOneIsMissing() {
+  void doesNotJoinARecordWhosePredecessorIsMissing() {
     CountDownLatch more = new CountDownLatch(1);
     endpoint.then(HEAD + chunk(1, 10, "x"), more, chunk(11, 20, "x"), After.CLOSE);
     endpoint.then(HEAD + chunk(1, 10, "y"), After.WAIT).then(HEAD, After.WAIT);
@@ -83,8 +89,8 @@
     PartitionRunner holder = runner(2);
     await().until(() -> endpoint.requests().size() == 2);
     more.countDown();
-    // Asked to go on behind them, so the former holder has them.
-    await().until(() -> asked("last-event-id: 20"));
+    // The request asks to continue after these events, so the former holder has received them.
+    await().until(() -> requestedWith("last-event-id: 20"));
     loop.submit(former::handOver).syncUninterruptibly();
     store.refusing = false;
     await().until(() -> loaded().text().contains("y"));
@@ -92,15 +98,16 @@
     assertEquals(lines("y", 10), loaded().text());
   }
 
-  private boolean asked(String header) {
+  private boolean requestedWith(String header) {
     return endpoint.requests().stream().anyMatch(each -> each.toLowerCase().contains(header));
   }
 
   private PartitionRunner runner(long epoch) {
-    JobReplica replica = new JobReplica(store, JobReplicas.TOPIC, 0, new LoadGate(), loop);
+    JobReplica replica = new JobReplica(store, JobReplicas.TOPIC, 0, new LoadLimiter(), loop);
     JobParts parts = JobFixture.parts(store, loop, InstantSource.system(), config, directory);
     PartitionRunner runner =
-        new PartitionRunner(parts, replica, 0, epoch, new JobFixture.SilentNotices(), lost -> {});
+        new PartitionRunner(
+            parts, replica, 0, epoch, new JobFixture.SilentNotices(), refused -> {});
     loop.execute(runner::start);
     return runner;
   }
@@ -109,9 +116,9 @@
     store.append(new AppendCall(JobReplicas.TOPIC, 0, List.of(record), null));
   }
 
-  /** Returns what a process knows of the item that has just read the newest records. */
+  /** Returns the item's progress at a process that has just read the newest records. */
   private ItemProgress loaded() {
-    JobReplica replica = new JobReplica(store, JobReplicas.TOPIC, 0, new LoadGate(), loop);
+    JobReplica replica = new JobReplica(store, JobReplicas.TOPIC, 0, new LoadLimiter(), loop);
     CompletionStage<Void> read = loop.submit(replica::refresh).syncUninterruptibly().getNow();
     read.toCompletableFuture().join();
     return loop.submit(() -> replica.table().find("j").orElseThrow().progress("i1"))
@@ -131,7 +138,7 @@
     return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
   }
 
-  /** Log that takes no records of a holder while it refuses. */
+  /** Log that refuses records of holders while {@code refusing} is set. */
   private static final class RefusingLogStore extends InMemoryLogStore {
 
     private volatile boolean refusing;
@@ -146,7 +153,7 @@
       if (refusing && call.writer() != null && !call.records().isEmpty()) {
         refused++;
         return CompletableFuture.failedFuture(
-            new StoreException(StoreException.Kind.NOT_DONE, "away"));
+            new StoreException(StoreException.Kind.NOT_DONE, "refused by the test"));
       }
       try {
         return super.append(call);
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/job/PagedLogStore.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/job/PagedLogStore.java
@@ -10,15 +10,18 @@
 import java.util.concurrent.ScheduledExecutorService;
 import org.jspecify.annotations.Nullable;
 
-/** Log in memory whose pages are small, whose lists can be held back, and that can forget. */
+/**
+ * Log in memory with small pages, which can delay its lists of newest records and can lose its
+ * history.
+ */
 final class PagedLogStore extends InMemoryLogStore {
 
   private final int pageRecords;
-  private final List<Runnable> held = new ArrayList<>();
-  private boolean holding;
-  private boolean forgetful;
+  private final List<Runnable> delayed = new ArrayList<>();
+  private boolean delaying;
+  private boolean historyLost;
   private int listKeys = Integer.MAX_VALUE;
-  private int listsLeft = Integer.MAX_VALUE;
+  private int listPagesLeft = Integer.MAX_VALUE;
   private long listedBytes;
 
   PagedLogStore(ScheduledExecutorService executor, int partitions, int pageRecords) {
@@ -26,42 +29,42 @@
     this.pageRecords = pageRecords;
   }
 
-  /** Sets how many keys a page of newest records holds. */
+  /** Sets the number of keys in a page of newest records. */
   void pageKeys(int keys) {
     listKeys = keys;
   }
 
-  /** Lets pages of newest records fail after some more. */
+  /** Makes calls for newest records fail after a number of further pages. */
   void failListsAfter(int pages) {
-    listsLeft = pages;
+    listPagesLeft = pages;
   }
 
-  /** Returns the bytes of all records that lists have held. */
+  /** Returns the total bytes of the records in all lists so far. */
   long listedBytes() {
     return listedBytes;
   }
 
-  /** Keeps what the next lists found until {@link #letGo()}. */
+  /** Delays the pages of the next lists until {@link #releaseLists()}. */
   void holdLists() {
-    holding = true;
+    delaying = true;
   }
 
-  /** Hands out the lists that were held back. */
-  void letGo() {
-    holding = false;
-    List.copyOf(held).forEach(Runnable::run);
-    held.clear();
+  /** Delivers the delayed pages. */
+  void releaseLists() {
+    delaying = false;
+    List.copyOf(delayed).forEach(Runnable::run);
+    delayed.clear();
   }
 
-  /** Lets the next read find that its records are gone. */
-  void forgetOnce() {
-    forgetful = true;
+  /** Makes the next read report that its records have been trimmed. */
+  void loseHistoryOnce() {
+    historyLost = true;
   }
 
   @Override
   public CompletionStage<LogPage> read(String topic, int partition, long from, Duration wait) {
-    if (forgetful) {
-      forgetful = false;
+    if (historyLost) {
+      historyLost = false;
       return CompletableFuture.completedFuture(new LogPage(List.of(), from, true, true));
     }
     return super.read(topic, partition, from, wait).thenApply(page -> shortened(page, from));
@@ -84,18 +87,18 @@
 
   @Override
   public CompletionStage<KeyedPage> newest(String topic, int partition, @Nullable String after) {
-    if (listsLeft == 0) {
+    if (listPagesLeft == 0) {
       return CompletableFuture.failedFuture(
-          new StoreException(StoreException.Kind.UNKNOWN, "no whole page in time"));
+          new StoreException(StoreException.Kind.UNKNOWN, "page did not arrive in time"));
     }
-    listsLeft--;
+    listPagesLeft--;
     CompletionStage<KeyedPage> found =
         super.newest(topic, partition, after).thenApply(this::shortened);
-    if (!holding) {
+    if (!delaying) {
       return found;
     }
     CompletableFuture<KeyedPage> later = new CompletableFuture<>();
-    held.add(() -> found.thenAccept(later::complete));
+    delayed.add(() -> found.thenAccept(later::complete));
     return later;
   }
 }
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/job/PartitionRunnerTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/job/PartitionRunnerTest.java
@@ -42,7 +42,7 @@
       "HTTP/1.1 500 Failed\r\nTest-Id: {id}\r\nTest-Signature: s\r\nContent-Length: 0\r\n\r\n";
   private final EventLoop loop =
       (EventLoop) new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
-  private final AwayLogStore store = new AwayLogStore(loop);
+  private final UnavailableLogStore store = new UnavailableLogStore(loop);
   private final ScriptedEndpoint endpoint;
   private final EndpointDirectory directory;
   private final ConfigHolder config = JobFixture.config(MAX_ATTEMPTS);
@@ -59,24 +59,24 @@
   }
 
   /**
-   * A report that can never be done keeps endpoints busy after each restart. Its runs had failed as
-   * often as the route allows, but half of them at a holder that was killed, and the next one began
-   * to count anew.
+   * Guards against an item that can never complete and that occupies endpoints again after each
+   * restart. Its attempts had failed as often as the route allows, but half of them at a holder
+   * that was killed, and the next holder began to count from zero.
    */
   @Test
-  void countsFailedRunsOverATakeOver() {
+  void keepsTheFailureCountAcrossATakeover() {
     for (int i = 0; i < 2 * MAX_ATTEMPTS; i++) {
       endpoint.then(FAILED, After.KEEP);
     }
     JobItem item = new JobItem("i1", "/jobs/1", Map.of(), new byte[0]);
     Job job = new Job("j", "h", InstantSource.system().instant(), List.of(item));
     store.append(new AppendCall(JobReplicas.TOPIC, 0, JobRecords.accepted(job), null));
-    JobReplica first = new JobReplica(store, JobReplicas.TOPIC, 0, new LoadGate(), loop);
+    JobReplica first = new JobReplica(store, JobReplicas.TOPIC, 0, new LoadLimiter(), loop);
     PartitionRunner killed = runner(first, 1);
-    // The next run follows 0.1 s later, so this is looked for more often than that.
+    // The next attempt follows 0.1 s later, so the poll interval is shorter than that.
     await().pollInterval(Duration.ofMillis(5)).until(() -> failures(first) == MAX_ATTEMPTS - 1);
     loop.submit(killed::stop).syncUninterruptibly();
-    JobReplica second = new JobReplica(store, JobReplicas.TOPIC, 0, new LoadGate(), loop);
+    JobReplica second = new JobReplica(store, JobReplicas.TOPIC, 0, new LoadLimiter(), loop);
     runner(second, 2);
     await().until(() -> page(second).size() == 1);
     assertFalse(page(second).get(0).completed());
@@ -84,47 +84,49 @@
   }
 
   /**
-   * Guards against an item that is given up after one failure, as its route is gone for a moment.
+   * Guards against an item that is given up after one failure because its route is missing for a
+   * moment.
    */
   @Test
-  void givesUpNoItemWhileItsRouteIsGone() {
-    CountDownLatch routeGone = new CountDownLatch(1);
+  void doesNotGiveUpAnItemWhileItsRouteIsMissing() {
+    CountDownLatch routeMissing = new CountDownLatch(1);
     String done =
         "HTTP/1.1 200 OK\r\nTest-Id: {id}\r\nTest-Signature: s\r\n"
             + "Content-Length: 15\r\n\r\nid: 1\ndata: a\n\n";
     String head = "HTTP/1.1 500 Failed\r\nTest-Id: {id}\r\n";
     String rest = "Test-Signature: s\r\nContent-Length: 0\r\n\r\n";
-    endpoint.then(head, routeGone, rest, After.KEEP).then(done, After.KEEP);
+    endpoint.then(head, routeMissing, rest, After.KEEP).then(done, After.KEEP);
     Route route = config.current().orElseThrow().match("h", "/jobs/1").orElseThrow();
     JobItem item = new JobItem("i1", "/jobs/1", Map.of(), new byte[0]);
     Job job = new Job("j", "h", InstantSource.system().instant(), List.of(item));
     store.append(new AppendCall(JobReplicas.TOPIC, 0, JobRecords.accepted(job), null));
-    JobReplica replica = new JobReplica(store, JobReplicas.TOPIC, 0, new LoadGate(), loop);
+    JobReplica replica = new JobReplica(store, JobReplicas.TOPIC, 0, new LoadLimiter(), loop);
     runner(replica, 1);
     await().until(() -> endpoint.requests().size() == 1);
-    offer(2, List.of());
-    routeGone.countDown();
+    updateConfig(2, List.of());
+    routeMissing.countDown();
     await().until(() -> failures(replica) == 1 || page(replica).size() == 1);
-    offer(3, List.of(route));
+    updateConfig(3, List.of(route));
     await().until(() -> page(replica).size() == 1);
     assertEquals(new JobResult("i1", true, "a"), page(replica).get(0));
   }
 
-  private void offer(long version, List<Route> routes) {
+  private void updateConfig(long version, List<Route> routes) {
     RoutingConfig next = new RoutingConfig(version, routes, CallerLimits.DEFAULT);
     loop.submit(() -> config.offer(next)).syncUninterruptibly();
   }
 
   /**
-   * A result that a caller has read stands elsewhere later: another writer had destroyed the record
-   * before it, and the holder gave the positions behind the gap out again.
+   * Guards against a result that changes its position after a caller has read it. Another writer
+   * had destroyed the record before the result, and the holder assigned the positions after the gap
+   * again.
    */
   @Test
-  void listsInGapsAndNeverWhereAResultStands() {
-    String answer =
+  void listsInGapsAndNeverAtATakenPosition() {
+    String response =
         "HTTP/1.1 200 OK\r\nTest-Id: {id}\r\nTest-Signature: s\r\n"
             + "Content-Length: 15\r\n\r\nid: 1\ndata: a\n\n";
-    endpoint.then(answer, After.KEEP).then(answer, After.KEEP);
+    endpoint.then(response, After.KEEP).then(response, After.KEEP);
     List<JobItem> items =
         IntStream.range(0, 3)
             .mapToObj(i -> new JobItem("i" + i, "/jobs/" + i, Map.of(), new byte[0]))
@@ -135,10 +137,10 @@
     records.add(new KeyedRecord("r/j/0", new byte[] {(byte) 0xff}));
     records.add(JobRecords.result("j", 1, kept));
     store.append(new AppendCall(JobReplicas.TOPIC, 0, records, null));
-    JobReplica replica = new JobReplica(store, JobReplicas.TOPIC, 0, new LoadGate(), loop);
+    JobReplica replica = new JobReplica(store, JobReplicas.TOPIC, 0, new LoadLimiter(), loop);
     runner(replica, 1);
     await().until(() -> page(replica).size() == 3);
-    JobReplica next = new JobReplica(store, JobReplicas.TOPIC, 0, new LoadGate(), loop);
+    JobReplica next = new JobReplica(store, JobReplicas.TOPIC, 0, new LoadLimiter(), loop);
     loop.submit(next::refresh).syncUninterruptibly();
     await().until(() -> page(next).size() == 3);
     assertEquals(kept, page(next).get(1));
@@ -146,11 +148,11 @@
   }
 
   /**
-   * A job that was accepted and read is lost once its holder is restarted: another writer had
-   * destroyed its records, and what the holder knew went with it.
+   * Guards against the loss of an accepted job at a restart of its holder. Another writer had
+   * destroyed the job's records, and only the holder's memory still contained the job.
    */
   @Test
-  void writesAnewWhatAnotherWriterDestroyed() {
+  void restoresRecordsThatAnotherWriterDestroyed() {
     JobItem item = new JobItem("i0", "/jobs/0", Map.of("X", "y"), new byte[] {1, 2});
     Job job = new Job("j", "h", InstantSource.system().instant(), List.of(item));
     JobResult result = new JobResult("i0", true, "a");
@@ -158,7 +160,7 @@
     records.add(JobRecords.result("j", 0, result));
     records.add(JobRecords.end("j"));
     store.append(new AppendCall(JobReplicas.TOPIC, 0, records, null));
-    JobReplica replica = new JobReplica(store, JobReplicas.TOPIC, 0, new LoadGate(), loop);
+    JobReplica replica = new JobReplica(store, JobReplicas.TOPIC, 0, new LoadLimiter(), loop);
     runner(replica, 1);
     await().until(replica::followed);
     List<KeyedRecord> foreign =
@@ -173,7 +175,10 @@
             });
   }
 
-  /** A result that a caller has read is another one after a restart of its holder. */
+  /**
+   * Guards against a result that differs after a restart of its holder from the one that a caller
+   * has read.
+   */
   @Test
   void keepsAResultThatAnotherWriterReplaced() {
     List<JobItem> items =
@@ -186,7 +191,7 @@
     records.add(JobRecords.result("j", 0, result));
     records.add(JobRecords.end("j"));
     store.append(new AppendCall(JobReplicas.TOPIC, 0, records, null));
-    JobReplica replica = new JobReplica(store, JobReplicas.TOPIC, 0, new LoadGate(), loop);
+    JobReplica replica = new JobReplica(store, JobReplicas.TOPIC, 0, new LoadLimiter(), loop);
     runner(replica, 1);
     await().until(replica::followed);
     KeyedRecord other = JobRecords.result("j", 0, new JobResult("i1", true, "b"));
@@ -200,31 +205,31 @@
   }
 
   /**
-   * A buyer's reports come back as given up four seconds after they were ordered. The clock of the
-   * gateway that took the job was behind by minutes, the holder's was right, and by the difference
-   * the items were past the time for which they are kept.
+   * Guards against items that are given up four seconds after the job was submitted. The clock of
+   * the gateway that accepted the job was behind by minutes, the holder's clock was right, and by
+   * the difference the items were past their retention.
    */
   @Test
-  void givesUpNothingByTheClockOfAnotherInstance() throws InterruptedException {
+  void ignoresTheClockOfTheAcceptingInstance() throws InterruptedException {
     endpoint.then("", After.WAIT);
     JobItem item = new JobItem("i1", "/jobs/1", Map.of(), new byte[0]);
     Instant behind = InstantSource.system().instant().minus(Duration.ofMinutes(5));
     Job job = new Job("j", "h", behind, List.of(item));
     store.append(new AppendCall(JobReplicas.TOPIC, 0, JobRecords.accepted(job), null));
-    JobReplica replica = new JobReplica(store, JobReplicas.TOPIC, 0, new LoadGate(), loop);
+    JobReplica replica = new JobReplica(store, JobReplicas.TOPIC, 0, new LoadLimiter(), loop);
     runner(replica, 1);
     await().until(() -> endpoint.requests().size() == 1);
-    // Old jobs are looked for every 5 s.
+    // The holder checks for old jobs every 5 s.
     Thread.sleep(5_500);
     assertEquals(List.of(), page(replica));
   }
 
   /**
-   * Reports are late on a day on which gateways are restarted: with each partition that moved, its
-   * items lost what they had gained since it was last recorded, and began there anew.
+   * Guards against jobs that are late because gateways are restarted. With each partition that
+   * moved, its items lost the progress since their last record and restarted from there.
    */
   @Test
-  void goesOnBehindTheLastEventAfterAHandOver() throws InterruptedException {
+  void continuesAfterTheLastEventAfterAHandover() throws InterruptedException {
     String head =
         "HTTP/1.1 200 OK\r\nTest-Id: {id}\r\nTest-Signature: s\r\n"
             + "Transfer-Encoding: chunked\r\n\r\n";
@@ -234,12 +239,12 @@
     Job job = new Job("j", "h", InstantSource.system().instant(), List.of(item));
     store.append(new AppendCall(JobReplicas.TOPIC, 0, JobRecords.accepted(job), null));
     PartitionRunner former =
-        runner(new JobReplica(store, JobReplicas.TOPIC, 0, new LoadGate(), loop), 1);
+        runner(new JobReplica(store, JobReplicas.TOPIC, 0, new LoadLimiter(), loop), 1);
     await().until(() -> endpoint.requests().size() == 1);
-    // The events follow the request at once.
+    // The endpoint sends the events immediately after the request.
     Thread.sleep(200);
     loop.submit(former::handOver).syncUninterruptibly();
-    JobReplica next = new JobReplica(store, JobReplicas.TOPIC, 0, new LoadGate(), loop);
+    JobReplica next = new JobReplica(store, JobReplicas.TOPIC, 0, new LoadLimiter(), loop);
     runner(next, 2);
     await().until(() -> page(next).size() == 1);
     assertEquals(new JobResult("i1", true, "a\nb\nc"), page(next).get(0));
@@ -248,11 +253,11 @@
   }
 
   /**
-   * Reports cost twice their runs on a day on which the store is away for seconds: items ended
-   * meanwhile, their holder lost its lease, and all that it had to write was refused afterwards.
+   * Guards against running items twice when the store is unavailable for seconds. Items completed
+   * meanwhile, their holder lost its lease, and the store afterwards refused all its results.
    */
   @Test
-  void listsWhatAFormerHolderCouldNotList() {
+  void listsResultsThatAFormerHolderCouldNotWrite() {
     String head =
         "HTTP/1.1 200 OK\r\nTest-Id: {id}\r\nTest-Signature: s\r\n"
             + "Transfer-Encoding: chunked\r\n\r\n";
@@ -262,27 +267,27 @@
     JobItem item = new JobItem("i1", "/jobs/1", Map.of(), new byte[0]);
     Job job = new Job("j", "h", InstantSource.system().instant(), List.of(item));
     store.append(new AppendCall(JobReplicas.TOPIC, 0, JobRecords.accepted(job), null));
-    store.away = true;
-    runner(new JobReplica(store, JobReplicas.TOPIC, 0, new LoadGate(), loop), 1);
+    store.unavailable = true;
+    runner(new JobReplica(store, JobReplicas.TOPIC, 0, new LoadLimiter(), loop), 1);
     await().until(() -> store.refused > 0);
-    JobReplica replica = new JobReplica(store, JobReplicas.TOPIC, 0, new LoadGate(), loop);
+    JobReplica replica = new JobReplica(store, JobReplicas.TOPIC, 0, new LoadLimiter(), loop);
     runner(replica, 2);
     await().until(() -> endpoint.requests().size() == 2);
-    store.away = false;
+    store.unavailable = false;
     await().until(() -> page(replica).size() == 1);
     assertEquals(new JobResult("i1", true, "a\nb"), page(replica).get(0));
     assertEquals(2, endpoint.requests().size());
   }
 
   /**
-   * No report of a large fleet is listed any more after an outage of the store: more items ended
-   * meanwhile than it takes in one call, which it refused again and again.
+   * Guards against a partition that lists no results after an outage of the store. More items had
+   * completed meanwhile than fit in one call, and the store refused that call again and again.
    */
   @Test
-  void listsMoreThanOneCallHoldsInSeveral() {
+  void splitsResultsThatExceedOneCall() {
     String data = "x".repeat(200_000);
     int count = 12;
-    // An item that got no event for 2 s, as on a busy machine, is sent once more.
+    // An item without an event for 2 s, as on a busy machine, is sent once more.
     for (int i = 0; i < 2 * count; i++) {
       endpoint.then(
           "HTTP/1.1 200 OK\r\nTest-Id: {id}\r\nTest-Signature: s\r\n"
@@ -297,12 +302,12 @@
             .toList();
     Job job = new Job("j", "h", InstantSource.system().instant(), items);
     store.append(new AppendCall(JobReplicas.TOPIC, 0, JobRecords.accepted(job), null));
-    store.away = true;
-    JobReplica replica = new JobReplica(store, JobReplicas.TOPIC, 0, new LoadGate(), loop);
+    store.unavailable = true;
+    JobReplica replica = new JobReplica(store, JobReplicas.TOPIC, 0, new LoadLimiter(), loop);
     runner(replica, 1);
     await().until(() -> endpoint.requests().size() >= count);
     await().until(() -> store.refused > 3);
-    store.away = false;
+    store.unavailable = false;
     await().until(() -> resultCount(replica) == count);
     assertEquals(count, resultCount(replica));
   }
@@ -314,12 +319,12 @@
   }
 
   /**
-   * Callers are told 503 for seconds after the store is back. What found out that it answers was a
-   * read of a partition's holder that waited 2 s for new records.
+   * Guards against responses with status 503 for seconds after the store is back. The call that
+   * would have found the store available was a holder's read that waited 2 s for new records.
    */
   @Test
-  void readsWithoutWaitingAfterACutRead() {
-    runner(new JobReplica(store, JobReplicas.TOPIC, 0, new LoadGate(), loop), 1);
+  void readsWithoutWaitingAfterAFailedRead() {
+    runner(new JobReplica(store, JobReplicas.TOPIC, 0, new LoadLimiter(), loop), 1);
     await().until(() -> store.waits.size() == 2);
     store.cutReads();
     await().until(() -> store.waits.size() >= 4);
@@ -327,16 +332,16 @@
     assertTrue(store.waits.get(3).compareTo(Duration.ZERO) > 0, store.waits.toString());
   }
 
-  /** Log that takes no results while it is away, and 2 MiB a call. */
-  private static final class AwayLogStore extends InMemoryLogStore {
+  /** Log that refuses results while it is unavailable, and refuses calls of more than 2 MiB. */
+  private static final class UnavailableLogStore extends InMemoryLogStore {
 
     private static final int MAX_CALL_BYTES = 2 * 1024 * 1024;
 
-    private volatile boolean away;
+    private volatile boolean unavailable;
     private volatile int refused;
     private final List<Duration> waits = new CopyOnWriteArrayList<>();
 
-    private AwayLogStore(EventLoop loop) {
+    private UnavailableLogStore(EventLoop loop) {
       super(loop, 1);
     }
 
@@ -353,10 +358,10 @@
               .mapToLong(record -> record.value() == null ? 0 : record.value().length)
               .sum();
       boolean tooLarge = bytes > MAX_CALL_BYTES;
-      if (tooLarge || away && call.writer() != null && !call.records().isEmpty()) {
+      if (tooLarge || unavailable && call.writer() != null && !call.records().isEmpty()) {
         refused++;
         return CompletableFuture.failedFuture(
-            new StoreException(StoreException.Kind.NOT_DONE, "away"));
+            new StoreException(StoreException.Kind.NOT_DONE, "unavailable"));
       }
       try {
         return super.append(call);
@@ -367,11 +372,11 @@
   }
 
   /**
-   * A report lacks a line and is listed as complete. An endpoint had spoiled an event on the way,
-   * and the stream ended well.
+   * Guards against an item that lacks an event and is listed as complete. An endpoint had corrupted
+   * an event on the way, and the stream ended normally.
    */
   @Test
-  void completesNoItemWhoseStreamLacksAnEvent() {
+  void doesNotCompleteAnItemWhoseStreamLacksAnEvent() {
     String head =
         "HTTP/1.1 200 OK\r\nTest-Id: {id}\r\nTest-Signature: s\r\n"
             + "Transfer-Encoding: chunked\r\n\r\n";
@@ -382,11 +387,12 @@
   }
 
   /**
-   * A report lacks its first line and is listed as complete. An endpoint had spoiled the first
-   * event of a run, and the number of the second one was taken for the first.
+   * Guards against an item that lacks its first event and is listed as complete. An endpoint had
+   * corrupted the first event of an attempt, and the number of the second event was taken for the
+   * first.
    */
   @Test
-  void completesNoItemWhoseStreamLacksItsFirstEvent() {
+  void doesNotCompleteAnItemWhoseStreamLacksItsFirstEvent() {
     String head =
         "HTTP/1.1 200 OK\r\nTest-Id: {id}\r\nTest-Signature: s\r\n"
             + "Transfer-Encoding: chunked\r\n\r\n";
@@ -396,21 +402,24 @@
     assertEquals(new JobResult("i1", true, "a\nb\nc"), resultOfOneItem());
   }
 
-  /** A report joins two runs: the second one began anew where it was asked to go on. */
+  /**
+   * Guards against a text that mixes two attempts, because the second attempt began with the first
+   * event although it was asked to continue.
+   */
   @Test
-  void goesOnWithNoRunThatBeginsAnew() {
+  void rejectsAnAttemptThatStartsFromTheBeginning() {
     String head =
         "HTTP/1.1 200 OK\r\nTest-Id: {id}\r\nTest-Signature: s\r\n"
             + "Transfer-Encoding: chunked\r\n\r\n";
     endpoint.then(head + chunk("id: 1\ndata: a\n\n"), After.CLOSE);
-    String anew = chunk("id: 1\ndata: x\n\n") + chunk("id: 2\ndata: y\n\n") + "0\r\n\r\n";
-    endpoint.then(head + anew, After.KEEP);
+    String restarted = chunk("id: 1\ndata: x\n\n") + chunk("id: 2\ndata: y\n\n") + "0\r\n\r\n";
+    endpoint.then(head + restarted, After.KEEP);
     endpoint.then(head + chunk("id: 2\ndata: b\n\n") + "0\r\n\r\n", After.KEEP);
     assertEquals(new JobResult("i1", true, "a\nb"), resultOfOneItem());
     assertEquals(3, endpoint.requests().size());
   }
 
-  /** A report lacks an empty line at its start, so that all lines below seem to be others. */
+  /** Guards against the loss of an empty first line, which shifts all following lines. */
   @Test
   void keepsAnEmptyFirstLine() {
     String head =
@@ -421,12 +430,12 @@
     assertEquals(new JobResult("i1", true, "\nb"), resultOfOneItem());
   }
 
-  /** Runs one item to its end. */
+  /** Runs one item until it has a result. */
   private JobResult resultOfOneItem() {
     JobItem item = new JobItem("i1", "/jobs/1", Map.of(), new byte[0]);
     Job job = new Job("j", "h", InstantSource.system().instant(), List.of(item));
     store.append(new AppendCall(JobReplicas.TOPIC, 0, JobRecords.accepted(job), null));
-    JobReplica replica = new JobReplica(store, JobReplicas.TOPIC, 0, new LoadGate(), loop);
+    JobReplica replica = new JobReplica(store, JobReplicas.TOPIC, 0, new LoadLimiter(), loop);
     runner(replica, 1);
     await().until(() -> page(replica).size() == 1);
     return page(replica).get(0);
@@ -439,7 +448,8 @@
   private PartitionRunner runner(JobReplica replica, long epoch) {
     JobParts parts = JobFixture.parts(store, loop, InstantSource.system(), config, directory);
     PartitionRunner runner =
-        new PartitionRunner(parts, replica, 0, epoch, new JobFixture.SilentNotices(), lost -> {});
+        new PartitionRunner(
+            parts, replica, 0, epoch, new JobFixture.SilentNotices(), refused -> {});
     loop.execute(runner::start);
     return runner;
   }
@@ -450,9 +460,9 @@
         .getNow();
   }
 
-  /** Returns what a process knows that has just read the partition. */
+  /** Returns the replica of a process that has just read the partition. */
   private JobReplica loaded() {
-    JobReplica replica = new JobReplica(store, JobReplicas.TOPIC, 0, new LoadGate(), loop);
+    JobReplica replica = new JobReplica(store, JobReplicas.TOPIC, 0, new LoadLimiter(), loop);
     CompletionStage<Void> read = loop.submit(replica::refresh).syncUninterruptibly().getNow();
     read.toCompletableFuture().join();
     return replica;
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/job/ProgressHistoryPropertyTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/job/ProgressHistoryPropertyTest.java
@@ -14,18 +14,19 @@
 import net.jqwik.api.Property;
 
 /**
- * A text joins two runs, or depends on the order in which records came.
+ * Guards against a text that mixes two attempts or that depends on the order in which records
+ * arrive.
  *
- * <p>Holders follow each other; each may go on to stream after it was fenced, and leaves late
- * records without its epoch. The data of an event says of which run it is, and the run what it was
- * asked to follow.
+ * <p>Holders follow one another. Each holder may continue to receive a stream after it was fenced,
+ * and leaves late records without its epoch. The data of an event names its attempt, and the test
+ * knows after which event each attempt was asked to continue.
  */
 class ProgressHistoryPropertyTest {
 
   private static final int STEPS = 60;
 
   @Property(tries = 2_000)
-  void aTextGoesOnOnlyWithARunThatWasAskedTo(@ForAll long seed) {
+  void aTextContinuesOnlyWithAnAttemptThatWasAskedToContinueIt(@ForAll long seed) {
     History history = new History(new Random(seed));
     for (int step = 0; step < STEPS; step++) {
       history.step();
@@ -34,7 +35,7 @@
   }
 
   @Property(tries = 1_000)
-  void aTextIsTheSameHoweverRecordsCome(@ForAll long seed) {
+  void theTextDoesNotDependOnTheOrderOfRecords(@ForAll long seed) {
     Random random = new Random(seed);
     History history = new History(random);
     for (int step = 0; step < STEPS; step++) {
@@ -48,14 +49,14 @@
     assertEquals(newest, history.progress(shuffled));
   }
 
-  /** What becomes of one item. */
+  /** Simulated history of one item. */
   private static final class History {
 
     private final Random random;
     private final List<KeyedRecord> log = new ArrayList<>();
-    private final List<Long> askedAfter = new ArrayList<>();
+    private final List<Long> requestedAfter = new ArrayList<>();
     private final List<Holder> holders = new ArrayList<>();
-    private final List<KeyedRecord> onTheWay = new ArrayList<>();
+    private final List<KeyedRecord> inTransit = new ArrayList<>();
 
     private History(Random random) {
       this.random = random;
@@ -67,26 +68,29 @@
       Holder last = holders.get(holders.size() - 1);
       switch (random.nextInt(9)) {
         case 0, 1, 2 -> any.stream(1 + random.nextInt(3));
-        case 3 -> any.ask();
+        case 3 -> any.startAttempt();
         case 4, 5 -> save(any, any == last);
-        case 6 -> any.item.recordIfAny("j").ifPresent(onTheWay::add);
+        case 6 -> any.item.recordIfAny("j").ifPresent(inTransit::add);
         case 7 -> arrive();
         default -> takeOver();
       }
     }
 
-    /** Appends with the holder's epoch; refused once another one has fenced the partition. */
+    /**
+     * Appends with the holder's epoch; the append is refused once another holder has fenced the
+     * partition.
+     */
     private void save(Holder holder, boolean holds) {
       holder.item.recordIfAny("j").filter(any -> holds).ifPresent(log::add);
     }
 
-    /** A record without an epoch comes, perhaps once more later. */
+    /** Appends a late record without an epoch, and may keep it to append it once more. */
     private void arrive() {
-      if (!onTheWay.isEmpty()) {
-        KeyedRecord record = onTheWay.get(random.nextInt(onTheWay.size()));
+      if (!inTransit.isEmpty()) {
+        KeyedRecord record = inTransit.get(random.nextInt(inTransit.size()));
         log.add(record);
         if (random.nextBoolean()) {
-          onTheWay.remove(record);
+          inTransit.remove(record);
         }
       }
     }
@@ -107,8 +111,8 @@
     private ItemProgress progress(List<KeyedRecord> records) {
       JobTable table = new JobTable();
       JobItem item = new JobItem("i1", "/p/1", Map.of(), new byte[0]);
-      JobRecords.accepted(new Job("j", "h", Instant.EPOCH, List.of(item))).forEach(table::take);
-      records.forEach(table::take);
+      JobRecords.accepted(new Job("j", "h", Instant.EPOCH, List.of(item))).forEach(table::apply);
+      records.forEach(table::apply);
       return table.find("j").orElseThrow().progress("i1");
     }
 
@@ -119,40 +123,42 @@
     }
 
     private void check(ItemProgress progress) {
-      int run = -1;
+      int attempt = -1;
       long event = 0;
       for (String line : progress.text().isEmpty() ? new String[0] : progress.text().split("\n")) {
         int next = Integer.parseInt(line);
-        if (next != run) {
+        if (next != attempt) {
           assertEquals(
-              event, askedAfter.get(next), progress + " of runs asked after " + askedAfter);
+              event,
+              requestedAfter.get(next),
+              progress + " from attempts requested after events " + requestedAfter);
         }
-        run = next;
+        attempt = next;
         event++;
       }
       assertEquals(Math.max(0, progress.lastEventId()), event);
     }
 
-    /** One holder of the partition with its present run. */
+    /** A holder of the partition with its current attempt. */
     private final class Holder {
 
       private final ItemProgress loaded;
       private final ItemRecorder item;
-      private int run;
+      private int attempt;
 
       private Holder(ItemProgress loaded, long epoch) {
         this.loaded = loaded;
         this.item = new ItemRecorder("i1", loaded, epoch);
-        ask();
+        startAttempt();
       }
 
-      private void ask() {
-        run = askedAfter.size();
-        askedAfter.add(next() - 1);
+      private void startAttempt() {
+        attempt = requestedAfter.size();
+        requestedAfter.add(next() - 1);
       }
 
       private void stream(int events) {
-        item.take(next(), next() + events - 1, String.valueOf(run));
+        item.append(next(), next() + events - 1, String.valueOf(attempt));
       }
 
       private long next() {
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/job/RecordingResponder.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/job/RecordingResponder.java
@@ -7,24 +7,24 @@
 import java.time.Duration;
 import org.jspecify.annotations.Nullable;
 
-/** Keeps the whole answer that a caller would get. */
+/** Records the response that a caller would get. */
 final class RecordingResponder implements Responder {
 
   private int status;
   private String text = "";
   private @Nullable Duration retryAfter;
 
-  /** Returns the status of the answer; 0 before there is one. */
+  /** Returns the status of the response; 0 before there is one. */
   int status() {
     return status;
   }
 
-  /** Returns the body. */
+  /** Returns the body of the response. */
   String text() {
     return text;
   }
 
-  /** Returns when the caller was told to come back; null if it was not told. */
+  /** Returns the retry delay in the response; null if it has none. */
   @Nullable Duration retryAfter() {
     return retryAfter;
   }
@@ -43,22 +43,22 @@
 
   @Override
   public void head(int code, HttpHeaders headers) {
-    throw new UnsupportedOperationException("Answers about jobs are whole");
+    throw new UnsupportedOperationException("Responses about jobs are not streamed");
   }
 
   @Override
   public void part(ByteBuf content) {
-    throw new UnsupportedOperationException("Answers about jobs are whole");
+    throw new UnsupportedOperationException("Responses about jobs are not streamed");
   }
 
   @Override
   public void end() {
-    throw new UnsupportedOperationException("Answers about jobs are whole");
+    throw new UnsupportedOperationException("Responses about jobs are not streamed");
   }
 
   @Override
   public void breakOff() {
-    throw new UnsupportedOperationException("Answers about jobs are whole");
+    throw new UnsupportedOperationException("Responses about jobs are not streamed");
   }
 
   @Override
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/job/RunEstimateTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/job/RunEstimateTest.java
@@ -17,40 +17,44 @@
   private final RunEstimate estimate = new RunEstimate();
 
   @Test
-  void ranksByDueTimeWhatCanBeInTime() {
+  void ranksItemsThatCanBeInTimeByDueTime() {
     Instant soon = NOW.plusSeconds(6);
     Instant later = NOW.plusSeconds(9);
     assertTrue(estimate.rank(soon, -1, NOW) < estimate.rank(later, -1, NOW));
   }
 
   @Test
-  void countsWhatAnItemHasAlready() {
+  void countsTheEventsOfAnItem() {
     Instant due = NOW.plusSeconds(2);
     assertTrue(estimate.rank(due, -1, NOW) > due.toEpochMilli());
     assertEquals(due.toEpochMilli(), estimate.rank(due, 150, NOW));
   }
 
   @Test
-  void learnsHowLongItemsRun() {
+  void adaptsToTheRunTimesOfItems() {
     for (int i = 0; i < 100; i++) {
-      estimate.done(Duration.ofSeconds(10), 400);
+      estimate.recordCompletion(Duration.ofSeconds(10), 400);
     }
-    assertTrue(estimate.left(-1).toMillis() > 9_900, estimate.left(-1).toString());
-    assertTrue(estimate.left(200).toMillis() < 5_100, estimate.left(200).toString());
+    assertTrue(estimate.remaining(-1).toMillis() > 9_900, estimate.remaining(-1).toString());
+    assertTrue(estimate.remaining(200).toMillis() < 5_100, estimate.remaining(200).toString());
   }
 
   /**
-   * After an outage nearly all items of a queue come late, though 80 of 200 could be in time. Each
-   * got its slot in the order of due times, just too late.
+   * Guards against an overload in which nearly all items are late, although 80 of 200 could meet
+   * their due times. Each item got its slot in the order of due times, just too late.
    */
   @Test
-  void servesAllThatSlotsAllowInAnOverloadThatDueTimesAloneLose() {
-    // Four rounds of 20 slots end before the last item is due; more is not to be had.
+  void completesMoreItemsInTimeThanTheOrderOfDueTimes() {
+    // Four rounds of 20 slots end before the last item is due; no order can complete more items in
+    // time.
     assertEquals(80, inTime(true));
     assertTrue(inTime(false) <= 20, "by due times alone: " + inTime(false));
   }
 
-  /** Runs 200 items on 20 slots; they are due over 18 s, and 42 s of work wait. */
+  /**
+   * Runs 200 items on 20 slots and returns how many are in time; the items are due over 18 s and
+   * take 42 s in all.
+   */
   private int inTime(boolean byEstimate) {
     List<Instant> waiting = new ArrayList<>();
     for (int i = 0; i < 200; i++) {
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/job/ScriptedJobPeers.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/job/ScriptedJobPeers.java
@@ -12,34 +12,34 @@
 import java.util.concurrent.CompletionStage;
 import org.jspecify.annotations.Nullable;
 
-/** Peers that answer as the test says; one without an answer fails. */
+/** Peers whose replies the test sets; a call to a peer without a reply fails. */
 final class ScriptedJobPeers implements JobPeers {
 
   private final String self;
   private final Map<String, HttpReply> replies = new HashMap<>();
   private final Map<String, RuntimeException> failures = new HashMap<>();
-  private final List<String> asked = new ArrayList<>();
-  private @Nullable String deputy;
+  private final List<String> calledPeers = new ArrayList<>();
+  private @Nullable String standby;
 
   ScriptedJobPeers(String self) {
     this.self = self;
   }
 
-  void answers(String name, HttpReply reply) {
+  void reply(String name, HttpReply reply) {
     replies.put(name, reply);
   }
 
-  void fails(String name, RuntimeException failure) {
+  void fail(String name, RuntimeException failure) {
     failures.put(name, failure);
   }
 
-  void setDeputy(String name) {
-    deputy = name;
+  void setStandby(String name) {
+    standby = name;
   }
 
-  /** Returns whom this process has asked, in order. */
-  List<String> asked() {
-    return asked;
+  /** Returns the names of the called peers, in order. */
+  List<String> calledPeers() {
+    return calledPeers;
   }
 
   @Override
@@ -58,18 +58,18 @@
   }
 
   @Override
-  public Optional<String> deputy(int partition, String holder) {
-    return Optional.ofNullable(deputy);
+  public Optional<String> standby(int partition, String holder) {
+    return Optional.ofNullable(standby);
   }
 
   @Override
-  public CompletionStage<HttpReply> ask(String name, FrontRequest request, Duration patience) {
-    asked.add(name);
+  public CompletionStage<HttpReply> forward(String name, FrontRequest request, Duration timeout) {
+    calledPeers.add(name);
     HttpReply reply = replies.get(name);
     if (reply != null) {
       return CompletableFuture.completedFuture(reply);
     }
-    RuntimeException silence = new IllegalStateException(name + " does not answer");
-    return CompletableFuture.failedFuture(failures.getOrDefault(name, silence));
+    RuntimeException noReply = new IllegalStateException(name + " does not reply");
+    return CompletableFuture.failedFuture(failures.getOrDefault(name, noReply));
   }
 }
