--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/JobService.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/JobService.java
@@ -169,7 +169,7 @@
         .with("cause", failure.getMessage())
         .write();
     if (clock.instant().isBefore(write.arrived().plus(APPEND_TIME))) {
-      // An attempt that already took longer than the pause is repeated at once.
+      // An attempt with an unknown outcome that took at least the pause is repeated immediately.
       Duration pause = notDone || elapsed.compareTo(RETRY_PAUSE) < 0 ? RETRY_PAUSE : Duration.ZERO;
       executor.schedule(() -> append(next), pause.toMillis(), TimeUnit.MILLISECONDS);
     } else if (next.maybeWritten()) {
@@ -205,8 +205,8 @@
   /**
    * Waits for a result, and responds without one only after the log was read to its end.
    *
-   * <p>A caller may read a result at one process and then ask a second process, which has not read
-   * the log so far, for the same position. To the caller the result would have disappeared.
+   * <p>A caller may read a result at one process, and then ask for the same position at a second
+   * process that has read less of the log. To the caller the result would have disappeared.
    * Therefore a process says that there is no result only after a read of the log that began later
    * than the call. If the log cannot be read, the caller gets 503 instead.
    */
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/store/FollowerStep.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/store/FollowerStep.java
@@ -8,7 +8,7 @@
 import java.util.function.Supplier;
 import org.jspecify.annotations.Nullable;
 
-/** What a follower does now: a call or a pause, one at a time, either of which can be hurried. */
+/** Current step of a follower: either one call or one pause. Each of them can be cut short. */
 final class FollowerStep {
 
   private final ScheduledExecutorService executor;
@@ -19,54 +19,57 @@
   /**
    * A pause before the next call.
    *
-   * @param timer ends the pause
-   * @param next makes the call
+   * @param timer timer that ends the pause
+   * @param next makes the next call
    */
   private record Pause(Future<?> timer, Runnable next) {}
 
-  /** Creates a step that is not begun; all its work happens on the executor. */
+  /** Creates a step without a call or a pause. All work happens on the executor. */
   FollowerStep(ScheduledExecutorService executor) {
     this.executor = executor;
   }
 
   /**
-   * Returns a call that is to be made now.
+   * Begins a call and returns it.
    *
-   * @param second makes the call again, without a wait
+   * @param second makes the second call, which does not wait for new records
    */
   <T> HedgedCall<T> call(Supplier<CompletionStage<T>> second) {
     number++;
     pause = null;
-    HedgedCall<T> begun = new HedgedCall<>(second, executor);
-    call = begun;
-    return begun;
+    HedgedCall<T> started = new HedgedCall<>(second, executor);
+    call = started;
+    return started;
   }
 
-  /** Pauses before the next step. */
+  /** Begins a pause, after which the next step runs. */
   void pause(Duration time, Runnable next) {
     number++;
     call = null;
     pause = new Pause(executor.schedule(next, time.toMillis(), TimeUnit.MILLISECONDS), next);
   }
 
-  /** Makes the second call beside the one that is on its way, or ends the pause. */
-  void hurry() {
+  /** Makes the second call of a call in progress, or ends a pause. */
+  void proceedNow() {
     HedgedCall<?> current = call;
     Pause pausing = pause;
     if (pausing != null && pausing.timer().cancel(false)) {
       pausing.next().run();
     } else if (current != null) {
-      current.hurry();
+      current.hedgeNow();
     }
   }
 
-  /** Hurries once the answers that are there are taken, unless this step is over by then. */
-  void hurryBehindAnswers() {
+  /**
+   * Does the same as {@link #proceedNow()}, but only after the replies that have already arrived
+   * are handled, and only if this step is still the current one by then.
+   */
+  void proceedAfterPendingReplies() {
     long current = number;
     executor.execute(
         () -> {
           if (number == current) {
-            hurry();
+            proceedNow();
           }
         });
   }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/store/HedgedCall.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/store/HedgedCall.java
@@ -10,12 +10,13 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A call to the store that is made a second time beside the first one; the first answer counts.
+ * A hedged call to the store: a second call is made in parallel with the first if the reply is
+ * overdue. The first reply counts.
  *
- * <p>Failure: the connection of a call goes silent. It shows as an answer that does not come until
- * the call is given up. Guard: a second call is made as soon as an answer is overdue. The first one
- * is not given up, since a slow store may still answer it; there is no third, so that a slow store
- * gets twice the calls at most.
+ * <p>The connection of a call may go silent, and the call would then have no reply until its
+ * timeout. Therefore the second call is made as soon as a reply is overdue. The first call is not
+ * aborted, since a slow store may still reply to it. There is no third call, so a slow store gets
+ * at most twice the calls.
  */
 final class HedgedCall<T> {
 
@@ -23,49 +24,52 @@
   private final ScheduledExecutorService executor;
   private final CompletableFuture<T> result = new CompletableFuture<>();
   private @Nullable Future<?> timer;
-  private boolean hurried;
-  private int unanswered;
+  private boolean hedged;
+  private int pendingCalls;
 
   /**
-   * Creates a call; all its work happens on the executor.
+   * Creates a call. All work happens on the executor.
    *
-   * @param second makes the call that is made beside the first one
+   * @param second makes the second call
    */
   HedgedCall(Supplier<CompletionStage<T>> second, ScheduledExecutorService executor) {
     this.second = second;
     this.executor = executor;
   }
 
-  /** Makes the first call; the stage fails once no call is on its way any more. */
+  /**
+   * Makes the first call. The returned stage completes with the first reply, and fails once all
+   * calls in progress have failed.
+   */
   CompletionStage<T> start(Supplier<CompletionStage<T>> first) {
     make(first);
     return result;
   }
 
-  /** Makes the second call when the first has had a time without an answer. */
-  void hurryAfter(Duration patience) {
-    timer = executor.schedule(this::hurry, patience.toMillis(), TimeUnit.MILLISECONDS);
+  /** Makes the second call if the first has no reply after a delay. */
+  void hedgeAfter(Duration delay) {
+    timer = executor.schedule(this::hedgeNow, delay.toMillis(), TimeUnit.MILLISECONDS);
   }
 
-  /** Makes the second call now, if it is not made yet. */
-  void hurry() {
-    if (!hurried && !result.isDone()) {
-      hurried = true;
+  /** Makes the second call now, unless it was already made or the result is known. */
+  void hedgeNow() {
+    if (!hedged && !result.isDone()) {
+      hedged = true;
       make(second);
     }
   }
 
   private void make(Supplier<CompletionStage<T>> call) {
-    unanswered++;
-    call.get().whenCompleteAsync(this::ended, executor);
+    pendingCalls++;
+    call.get().whenCompleteAsync(this::onReply, executor);
   }
 
-  private void ended(@Nullable T answer, @Nullable Throwable failure) {
-    unanswered--;
+  private void onReply(@Nullable T reply, @Nullable Throwable failure) {
+    pendingCalls--;
     if (failure == null) {
       stopTimer();
-      result.complete(answer);
-    } else if (unanswered == 0) {
+      result.complete(reply);
+    } else if (pendingCalls == 0) {
       stopTimer();
       result.completeExceptionally(failure);
     }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/store/KeyedFollower.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/store/KeyedFollower.java
@@ -17,50 +17,56 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Follows one partition of a keyed topic by waiting reads, and starts over from the newest records
- * when the history it needs is gone.
+ * Follows one partition of a keyed topic by reads that wait for new records. If the history that it
+ * needs is gone, the follower reloads the newest records.
  *
- * <p>Failure: a connection goes silent without an end. It shows as a change that a process does not
- * learn of until its read is given up. Guard: a second call is made beside one whose answer is
+ * <p>A connection may go silent without being closed. The process would then not learn of a change
+ * until its read times out. Therefore a second call is made in parallel with a call whose reply is
  * overdue.
  *
- * <p>Failure: the store is away, slow or forgets its history. It shows as failed reads, or as a
- * page that says that records are gone. Guard: failed reads are repeated after a pause that grows,
- * and without waiting, so that the answer tells at once that the store is back and what changed
- * meanwhile; after missing history the listener gets the whole content anew, so that removals in
- * the gap are not missed.
+ * <p>The store may be unavailable or slow, or may lose its history. Reads then fail, or return a
+ * page that says that records are gone. Failed reads are retried with exponential backoff and do
+ * not wait for records, so that the reply shows at once that the store is back and what changed
+ * meanwhile. After a loss of history the listener gets the whole content again, so that it does not
+ * miss removals in the lost part.
  */
 public final class KeyedFollower implements LogProof {
 
   /**
-   * Wait of a read for changes that may be seen late, such as the list of processes, whose silence
-   * is noticed by questions without an answer.
+   * Wait time of reads for changes that may be noticed late, such as the list of processes. That a
+   * process is silent is noticed by requests that it does not answer.
    */
   public static final Duration UNHURRIED = Duration.ofSeconds(10);
 
   /**
-   * Pause after a read that brought records. When many processes or endpoints register at once,
-   * each record would cost each process a call.
+   * Pause after a read that returned records. When many processes or endpoints register at the same
+   * time, each record would otherwise cost each process a call.
    */
-  private static final Duration GATHER = Duration.ofMillis(200);
+  private static final Duration BATCH_PAUSE = Duration.ofMillis(200);
 
-  /** Time within which answers come; a store that is slow takes up to 240 ms. */
-  private static final Duration ANSWER_TIME = Duration.ofMillis(300);
+  /** Time within which a reply is expected; a slow store takes up to 240 ms. */
+  private static final Duration EXPECTED_REPLY_TIME = Duration.ofMillis(300);
 
-  /** The same for a page of newest records, 1 MB in base64 over a link of 21 Mbit/s. */
-  private static final Duration LIST_TIME = Duration.ofMillis(700);
+  /** The same for a page of newest records: 1 MB in base64 over a link of 21 Mbit/s. */
+  private static final Duration EXPECTED_LIST_TIME = Duration.ofMillis(700);
 
-  /** Most by which processes differ in when they make a second call. */
-  private static final Duration SPREAD = Duration.ofMillis(100);
+  /** Maximum jitter that is added to the time at which a process makes a second call. */
+  private static final Duration MAX_JITTER = Duration.ofMillis(100);
 
-  /** Pause before the second repeat; the first one comes at once. */
+  /** Pause before the second retry; the first retry is immediate. */
   private static final Duration FIRST_PAUSE = Duration.ofMillis(100);
 
-  /** Longest pause between tries; entries are to be back within 2 s of an outage's end. */
+  /**
+   * Longest pause between retries; new records must be visible within 2 s after the end of an
+   * outage.
+   */
   private static final Duration MAX_PAUSE = Duration.ofMillis(800);
 
-  /** Part of the time for a change that a read may wait; the rest is for a call and its effect. */
-  private static final int WAITS_IN_CHANGE_TIME = 2;
+  /**
+   * Divisor of the time for a change that yields the wait time of a read. The rest is for one call
+   * and its effect.
+   */
+  private static final int CHANGE_TIME_DIVISOR = 2;
 
   private final LogStore store;
   private final String topic;
@@ -70,36 +76,37 @@
   private final EventLog log;
   private final Listener listener;
   private final FollowerStep step;
-  private final ProvenMoment proven;
+  private final FreshnessTracker freshness;
   private Duration pause = FIRST_PAUSE;
   private boolean loaded;
-  private boolean lost;
-  private Instant lostAt = Instant.MIN;
+  private boolean unavailable;
+  private Instant unavailableSince = Instant.MIN;
   private boolean stopped;
 
   /**
-   * A page and when the call for it began; it holds what was written before that.
+   * A page with the time at which the call for it began. The page contains all that was written
+   * before that time.
    *
    * @param page the page
    * @param begun when the call began
    */
-  private record Answer<T>(T page, Instant begun) {}
+  private record TimedPage<T>(T page, Instant begun) {}
 
-  /** Receives what a partition holds. */
+  /** Listener for the content of a partition. */
   public interface Listener {
 
-    /** Takes the whole content, the newest record of each key. */
+    /** Called with the whole content: the newest record of each key. */
     void onAll(List<KeyedRecord> records);
 
-    /** Takes records that were appended. */
+    /** Called with records that were appended. */
     void onRecords(List<KeyedRecord> records);
 
-    /** Is told that the store answers again after it did not for some time. */
+    /** Called when the store is available again after an outage. */
     default void onRegained(Duration outage) {}
   }
 
   /**
-   * Creates a follower; all its work happens on the executor.
+   * Creates a follower. All work happens on the executor.
    *
    * @param wait how long reads wait for records
    */
@@ -120,98 +127,101 @@
     this.log = log;
     this.listener = listener;
     this.step = new FollowerStep(executor);
-    this.proven = new ProvenMoment(executor);
+    this.freshness = new FreshnessTracker(executor);
   }
 
   /**
-   * Returns how long reads may wait for changes that are to be in force within a time.
+   * Returns how long reads may wait for changes that must take effect within a given time.
    *
-   * <p>A read that falls silent is noticed when its wait is over; the wait, a call after it and
-   * what the change takes to have an effect stay within the time.
+   * <p>If the connection of a read goes silent, this is noticed when the read's wait is over. The
+   * wait, the second call and the time that the change needs to take effect together stay within
+   * the given time.
    */
   public static Duration waitWithin(Duration changeTime) {
-    return changeTime.dividedBy(WAITS_IN_CHANGE_TIME);
+    return changeTime.dividedBy(CHANGE_TIME_DIVISOR);
   }
 
-  /** Starts to follow. */
+  /** Loads the partition and starts to follow it. */
   public void start() {
     loadAll(new ArrayList<>(), null, null);
   }
 
-  /** Stops after the read that is on its way. */
+  /** Stops after the read that is in progress. */
   public void stop() {
     stopped = true;
   }
 
   /**
-   * Reads at once, beside a read that is on its way or in place of a pause.
+   * Reads immediately, in parallel with a read in progress or in place of a pause.
    *
-   * <p>Failure: the store is away for some time. It shows as reads of that time that stay silent,
-   * and as pauses, which hide changes made after its end. Guard: whoever learns that the store
-   * answers again calls this.
+   * <p>The store may be unavailable for some time. Reads made in that time stay silent, and pauses
+   * after failed reads delay changes made after the outage. Therefore the component that learns
+   * that the store is available again calls this method.
    */
   public void readNow() {
-    // The answer by which that was learned may be this follower's own.
-    step.hurryBehindAnswers();
+    // The reply that showed the store to be available may be this follower's own.
+    step.proceedAfterPendingReplies();
   }
 
   @Override
   public Instant provenAt() {
-    return proven.latest();
+    return freshness.latest();
   }
 
   @Override
   public CompletionStage<Void> refresh() {
-    if (lost) {
-      return CompletableFuture.failedFuture(noAnswer());
+    if (unavailable) {
+      return CompletableFuture.failedFuture(storeUnavailable());
     }
-    step.hurry();
-    return proven.next();
+    step.proceedNow();
+    return freshness.next();
   }
 
-  private static StoreException noAnswer() {
-    return new StoreException(StoreException.Kind.NOT_DONE, "The store does not answer");
+  private static StoreException storeUnavailable() {
+    return new StoreException(StoreException.Kind.NOT_DONE, "The store is unavailable");
   }
 
   /**
    * Loads a page of newest records.
    *
-   * @param first the first page that was loaded; null for that one
+   * @param first first page of this load; null while that page is loaded
    */
   private void loadAll(
-      List<KeyedRecord> records, @Nullable String after, @Nullable Answer<KeyedPage> first) {
+      List<KeyedRecord> records, @Nullable String after, @Nullable TimedPage<KeyedPage> first) {
     if (stopped) {
       return;
     }
-    Supplier<CompletionStage<Answer<KeyedPage>>> list =
+    Supplier<CompletionStage<TimedPage<KeyedPage>>> list =
         () -> timed(() -> store.newest(topic, partition, after));
-    HedgedCall<Answer<KeyedPage>> listing = step.call(list);
+    HedgedCall<TimedPage<KeyedPage>> listing = step.call(list);
     listing
         .start(list)
         .whenComplete(
-            (answer, failure) -> {
+            (reply, failure) -> {
               if (failure != null) {
-                failed("newest", -1, failure, this::start);
+                onFailure("newest", -1, failure, this::start);
                 return;
               }
-              loadedPage(records, answer.page(), first == null ? answer : first);
+              onListPage(records, reply.page(), first == null ? reply : first);
             });
-    // A process that starts takes no requests yet, and may be one of many.
+    // A starting process makes no second call: it takes no requests so far, and many processes may
+    // start together.
     if (loaded) {
-      listing.hurryAfter(spread(LIST_TIME));
+      listing.hedgeAfter(withJitter(EXPECTED_LIST_TIME));
     }
   }
 
-  private void loadedPage(List<KeyedRecord> records, KeyedPage page, Answer<KeyedPage> first) {
-    answered();
+  private void onListPage(List<KeyedRecord> records, KeyedPage page, TimedPage<KeyedPage> first) {
+    onReply();
     records.addAll(page.records());
     if (page.more() && !page.records().isEmpty()) {
       String last = page.records().get(page.records().size() - 1).key();
       loadAll(records, last, first);
       return;
     }
-    // Pages are not a snapshot. Reading on from the end that the first page named sees what was
-    // written between the pages once more, which does no harm, and misses nothing.
+    // The pages are not a snapshot. The follower reads on from the end that the first page named.
+    // It sees the records that were written between the pages twice, which does no harm, and misses
+    // none.
     long from = first.page().end();
     log.important("store", "loaded")
         .with("topic", topic)
@@ -220,7 +230,7 @@
         .write();
     loaded = true;
     listener.onAll(records);
-    proven.proven(first.begun());
+    freshness.caughtUp(first.begun());
     readFrom(from);
   }
 
@@ -228,36 +238,36 @@
     if (stopped) {
       return;
     }
-    Duration longest = lost ? Duration.ZERO : wait;
-    HedgedCall<Answer<LogPage>> reading = step.call(() -> read(offset, Duration.ZERO));
+    Duration maxWait = unavailable ? Duration.ZERO : wait;
+    HedgedCall<TimedPage<LogPage>> reading = step.call(() -> read(offset, Duration.ZERO));
     reading
-        .start(() -> read(offset, longest))
+        .start(() -> read(offset, maxWait))
         .whenComplete(
-            (answer, failure) -> {
+            (reply, failure) -> {
               if (failure != null) {
-                failed("read", offset, failure, () -> readFrom(offset));
+                onFailure("read", offset, failure, () -> readFrom(offset));
                 return;
               }
-              readPage(answer.page(), answer.begun());
+              onReadPage(reply.page(), reply.begun());
             });
-    reading.hurryAfter(longest.plus(spread(ANSWER_TIME)));
+    reading.hedgeAfter(maxWait.plus(withJitter(EXPECTED_REPLY_TIME)));
   }
 
-  private CompletionStage<Answer<LogPage>> read(long offset, Duration longest) {
-    return timed(() -> store.read(topic, partition, offset, longest));
+  private CompletionStage<TimedPage<LogPage>> read(long offset, Duration maxWait) {
+    return timed(() -> store.read(topic, partition, offset, maxWait));
   }
 
-  private <T> CompletionStage<Answer<T>> timed(Supplier<CompletionStage<T>> made) {
+  private <T> CompletionStage<TimedPage<T>> timed(Supplier<CompletionStage<T>> call) {
     Instant begun = clock.instant();
-    return made.get().thenApply(page -> new Answer<>(page, begun));
+    return call.get().thenApply(page -> new TimedPage<>(page, begun));
   }
 
-  private static Duration spread(Duration time) {
-    return time.plusMillis(ThreadLocalRandom.current().nextLong(SPREAD.toMillis()));
+  private static Duration withJitter(Duration time) {
+    return time.plusMillis(ThreadLocalRandom.current().nextLong(MAX_JITTER.toMillis()));
   }
 
-  private void readPage(LogPage page, Instant begun) {
-    answered();
+  private void onReadPage(LogPage page, Instant begun) {
+    onReply();
     if (page.trimmed()) {
       log.important("store", "history.gone").with("topic", topic).write();
       start();
@@ -267,42 +277,42 @@
       listener.onRecords(page.records());
     }
     if (!page.more()) {
-      proven.proven(begun);
+      freshness.caughtUp(begun);
     }
     if (page.records().isEmpty()) {
       readFrom(page.next());
       return;
     }
-    step.pause(GATHER, () -> readFrom(page.next()));
+    step.pause(BATCH_PAUSE, () -> readFrom(page.next()));
   }
 
-  private void answered() {
+  private void onReply() {
     pause = FIRST_PAUSE;
-    if (lost) {
-      lost = false;
+    if (unavailable) {
+      unavailable = false;
       log.important("store", "regained")
           .with("topic", topic)
-          .with("millis", Duration.between(lostAt, clock.instant()).toMillis())
+          .with("millis", Duration.between(unavailableSince, clock.instant()).toMillis())
           .write();
-      listener.onRegained(Duration.between(lostAt, clock.instant()));
+      listener.onRegained(Duration.between(unavailableSince, clock.instant()));
     }
   }
 
-  private void failed(String call, long offset, Throwable failure, Runnable again) {
-    if (!lost) {
-      lost = true;
-      lostAt = clock.instant();
+  private void onFailure(String call, long offset, Throwable failure, Runnable retry) {
+    if (!unavailable) {
+      unavailable = true;
+      unavailableSince = clock.instant();
       log.important("store", "lost")
           .with("topic", topic)
           .with("call", call)
           .with("from", offset)
           .with("cause", String.valueOf(failure.getMessage()))
           .write();
-      proven.lost(noAnswer());
-      again.run();
+      freshness.storeUnavailable(storeUnavailable());
+      retry.run();
       return;
     }
-    step.pause(pause, again);
+    step.pause(pause, retry);
     Duration doubled = pause.multipliedBy(2);
     pause = doubled.compareTo(MAX_PAUSE) > 0 ? MAX_PAUSE : doubled;
   }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/store/LogProof.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/store/LogProof.java
@@ -3,17 +3,17 @@
 import java.time.Instant;
 import java.util.concurrent.CompletionStage;
 
-/** Tells how fresh what a process has read of a log is, and reads on when asked. */
+/** Reports how current a process's copy of a log is, and updates the copy on request. */
 public interface LogProof {
 
-  /** Returns a moment before which nothing was written that has not been read. */
+  /** Returns a time; the process has read everything that was written before it. */
   Instant provenAt();
 
   /**
-   * Reads on at once; callers that come meanwhile share one read.
+   * Reads the log immediately; concurrent callers share one read.
    *
-   * @return ends with the next answer that reaches the end of the log; fails if the store does not
-   *     answer
+   * @return stage that completes with the next reply that reaches the end of the log, and fails if
+   *     the store is unavailable
    */
   CompletionStage<Void> refresh();
 }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/store/StoreException.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/store/StoreException.java
@@ -1,31 +1,30 @@
 package io.hawthornlb.gateway.store;
 
-/** A call to the store that did not succeed. */
+/** Thrown when a call to the store fails. */
 public final class StoreException extends RuntimeException {
 
   private static final long serialVersionUID = 1L;
 
-  /** What is known of the call. */
+  /** What the caller knows about the failed call. */
   public enum Kind {
-    /** The store did nothing; the call may be made again. */
+    /** The store did not carry the call out, and the call may be retried. */
     NOT_DONE,
-    /** No answer came; the call may have been carried out, or may still be. */
+    /** The call got no reply. The store may have carried it out, or may still do so. */
     UNKNOWN,
-    /** A later holder writes to the partition. */
+    /** A later holder has fenced the partition. */
     FENCED,
-    /** The sequence number does not follow the last one. */
+    /** The sequence number of the append does not follow the last one. */
     OUT_OF_SEQUENCE
   }
 
   private final Kind kind;
 
-  /** Creates an exception. */
   public StoreException(Kind kind, String message) {
     super(message);
     this.kind = kind;
   }
 
-  /** Returns what is known of the call. */
+  /** Returns what is known about the failed call. */
   public Kind kind() {
     return kind;
   }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/store/package-info.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/store/package-info.java
@@ -1,4 +1,4 @@
-/** The log that keeps what must last, as the gateway needs it. */
+/** The durable log that the gateway needs, and the classes that follow it. */
 @NullMarked
 package io.hawthornlb.gateway.store;
 
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/store/support/CountedLogStore.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/store/support/CountedLogStore.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.CompletionStage;
 import org.jspecify.annotations.Nullable;
 
-/** Log that counts its calls by kind and topic. */
+/** Log store that counts its calls by kind and topic. */
 public final class CountedLogStore implements LogStore {
 
   private static final String CALLS = "store.calls";
@@ -15,7 +15,7 @@
   private final LogStore log;
   private final GatewayMetrics metrics;
 
-  /** Creates a log that passes its calls on to another one. */
+  /** Creates a store that passes its calls on to another one. */
   public CountedLogStore(LogStore log, GatewayMetrics metrics) {
     this.log = log;
     this.metrics = metrics;
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/store/support/InMemoryLogStore.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/store/support/InMemoryLogStore.java
@@ -17,10 +17,12 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Log in the memory of one process, for trials and tests; keeps the contract of {@link LogStore}.
+ * In-memory log store of one process, for trials and tests. Implements the contract of {@link
+ * LogStore}.
  *
- * <p>A member of a group that joins or leaves changes the generation; members do not expire. Reads
- * that wait can be silenced and cut, and a partition's history forgotten, as a platform's log may.
+ * <p>A member that joins or leaves a group changes the group's generation; members do not expire. A
+ * test can make waiting reads silent, cut them, and delete a partition's history, as may happen to
+ * a platform's log.
  */
 public class InMemoryLogStore implements LogStore {
 
@@ -32,7 +34,7 @@
   private final Map<String, Group> groups = new HashMap<>();
   private boolean silent;
 
-  /** Creates an empty log; waiting reads end on the executor. */
+  /** Creates an empty log. Waiting reads complete on the executor. */
   public InMemoryLogStore(ScheduledExecutorService executor, int partitions) {
     this.executor = executor;
     this.partitions = partitions;
@@ -52,7 +54,7 @@
     partition.records.addAll(call.records());
     Appended appended = new Appended(offset, partition.records.size());
     if (writer != null && !call.records().isEmpty()) {
-      partition.answers.put(writer, appended);
+      partition.results.put(writer, appended);
     }
     if (!silent) {
       partition.wake();
@@ -69,7 +71,7 @@
     }
     CompletableFuture<Void> woken = new CompletableFuture<>();
     log.waiting.add(woken);
-    executor.schedule(() -> waited(log, woken), wait.toMillis(), TimeUnit.MILLISECONDS);
+    executor.schedule(() -> onWaitOver(log, woken), wait.toMillis(), TimeUnit.MILLISECONDS);
     return woken.thenApply(any -> pageOf(log, from));
   }
 
@@ -122,12 +124,15 @@
     return CompletableFuture.completedFuture(owners);
   }
 
-  /** Lets reads that wait hear nothing, not even that their wait is over, until they are cut. */
+  /**
+   * Makes waiting reads silent until they are cut: they get no records and do not even end when
+   * their wait is over.
+   */
   public synchronized void silence() {
     silent = true;
   }
 
-  /** Cuts all reads that wait; those that come after it hear again. */
+  /** Fails all waiting reads, as if their connections were cut. Later reads are not silent. */
   public synchronized void cutReads() {
     silent = false;
     for (Partition partition : topics.values()) {
@@ -138,13 +143,13 @@
     }
   }
 
-  /** Forgets the records of a partition, but for the newest one of each key. */
+  /** Deletes the history of a partition, except the newest record of each key. */
   public synchronized void forgetHistory(String topic, int partition) {
     Partition log = partition(topic, partition);
     log.firstKept = log.records.size();
   }
 
-  private synchronized void waited(Partition log, CompletableFuture<Void> read) {
+  private synchronized void onWaitOver(Partition log, CompletableFuture<Void> read) {
     if (!silent) {
       log.waiting.remove(read);
       read.complete(null);
@@ -166,21 +171,24 @@
     private final List<CompletableFuture<Void>> waiting = new ArrayList<>();
     private final Map<String, Long> epochs = new HashMap<>();
     private final Map<String, Long> sequences = new HashMap<>();
-    private final Map<FencedWriter, Appended> answers = new HashMap<>();
+    private final Map<FencedWriter, Appended> results = new HashMap<>();
     private long firstKept;
 
-    /** Returns the answer of an append that was carried out before; null for a new one. */
+    /**
+     * Checks an append against the epoch and the sequence number; returns the result of an append
+     * that was carried out before, and null for a new one.
+     */
     private @Nullable Appended admit(FencedWriter writer, boolean empty) {
       long epoch = epochs.getOrDefault(writer.name(), -1L);
       if (writer.epoch() < epoch) {
-        throw new StoreException(StoreException.Kind.FENCED, "A later writer holds it");
+        throw new StoreException(StoreException.Kind.FENCED, "A later writer holds the partition");
       }
       if (writer.epoch() > epoch) {
         epochs.put(writer.name(), writer.epoch());
         sequences.remove(writer.name());
       }
-      if (answers.containsKey(writer)) {
-        return answers.get(writer);
+      if (results.containsKey(writer)) {
+        return results.get(writer);
       }
       if (!empty) {
         Long last = sequences.put(writer.name(), writer.sequence());
@@ -208,7 +216,7 @@
     }
   }
 
-  /** Members that share partitions. */
+  /** Members that share the partitions. */
   private static final class Group {
 
     private final TreeSet<String> members = new TreeSet<>();
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/store/support/package-info.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/store/support/package-info.java
@@ -1,4 +1,4 @@
-/** Implementations of the log. */
+/** Implementations of {@link io.hawthornlb.gateway.store.LogStore}. */
 @NullMarked
 package io.hawthornlb.gateway.store.support;
 
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/store/HedgedCallTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/store/HedgedCallTest.java
@@ -14,39 +14,45 @@
 
 class HedgedCallTest {
 
-  private static final Duration PATIENCE = Duration.ofMillis(300);
+  private static final Duration DELAY = Duration.ofMillis(300);
 
   private final VirtualLoop time = new VirtualLoop();
   private final List<CompletableFuture<String>> calls = new ArrayList<>();
   private final HedgedCall<String> hedged = new HedgedCall<>(this::call, time.loop());
   private final CompletableFuture<String> result = hedged.start(this::call).toCompletableFuture();
 
-  /** Each call is paid for, and nearly all are answered in time. */
+  /**
+   * Guards against needless second calls. Each call costs money, and nearly all calls get their
+   * reply in time.
+   */
   @Test
-  void makesNoSecondCallOnceTheFirstIsAnswered() {
-    hedged.hurryAfter(PATIENCE);
-    time.advance(PATIENCE.minusMillis(1));
+  void makesNoSecondCallOnceTheFirstHasAReply() {
+    hedged.hedgeAfter(DELAY);
+    time.advance(DELAY.minusMillis(1));
     calls.get(0).complete("first");
-    time.advance(PATIENCE);
-    hedged.hurry();
+    time.advance(DELAY);
+    hedged.hedgeNow();
     assertEquals("first", result.join());
     assertEquals(1, calls.size());
   }
 
   @Test
-  void takesTheSecondAnswerWhereTheFirstIsOverdue() {
-    hedged.hurryAfter(PATIENCE);
-    time.advance(PATIENCE);
+  void usesTheSecondReplyIfTheFirstIsOverdue() {
+    hedged.hedgeAfter(DELAY);
+    time.advance(DELAY);
     calls.get(1).complete("second");
     time.advance(Duration.ofMillis(1));
     assertEquals("second", result.join());
   }
 
-  /** A store that takes a second for each answer is never heard: its first answer was given up. */
+  /**
+   * Guards against ignoring a store that takes a second for each reply, because the first call was
+   * aborted.
+   */
   @Test
-  void takesAnOverdueAnswerThatComesFirst() {
-    hedged.hurryAfter(PATIENCE);
-    time.advance(PATIENCE);
+  void usesAnOverdueReplyThatArrivesFirst() {
+    hedged.hedgeAfter(DELAY);
+    time.advance(DELAY);
     calls.get(0).complete("first");
     time.advance(Duration.ofMillis(1));
     calls.get(1).complete("second");
@@ -54,19 +60,19 @@
     assertEquals("first", result.join());
   }
 
-  /** A slow store gets so many calls that it answers none of them any more. */
+  /** Guards against so many calls to a slow store that it replies to none of them. */
   @Test
   void makesNoThirdCall() {
-    hedged.hurryAfter(PATIENCE);
-    hedged.hurry();
-    time.advance(PATIENCE.multipliedBy(10));
-    hedged.hurry();
+    hedged.hedgeAfter(DELAY);
+    hedged.hedgeNow();
+    time.advance(DELAY.multipliedBy(10));
+    hedged.hedgeNow();
     assertEquals(2, calls.size());
   }
 
   @Test
-  void failsOnceNoCallIsLeft() {
-    hedged.hurry();
+  void failsOnceAllCallsHaveFailed() {
+    hedged.hedgeNow();
     calls.get(0).completeExceptionally(failure());
     time.advance(Duration.ofMillis(1));
     assertFalse(result.isDone());
@@ -77,9 +83,9 @@
 
   @Test
   void makesNoSecondCallAfterTheFirstHasFailed() {
-    hedged.hurryAfter(PATIENCE);
+    hedged.hedgeAfter(DELAY);
     calls.get(0).completeExceptionally(failure());
-    time.advance(PATIENCE);
+    time.advance(DELAY);
     assertTrue(result.isCompletedExceptionally());
     assertEquals(1, calls.size());
   }
@@ -91,6 +97,6 @@
   }
 
   private static StoreException failure() {
-    return new StoreException(StoreException.Kind.NOT_DONE, "away");
+    return new StoreException(StoreException.Kind.NOT_DONE, "unavailable");
   }
 }
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/store/KeyedFollowerTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/store/KeyedFollowerTest.java
@@ -23,32 +23,32 @@
 
   private static final Duration CHANGE_TIME = Duration.ofSeconds(2);
 
-  private static final Duration PROMPT = KeyedFollower.waitWithin(CHANGE_TIME);
+  private static final Duration PROMPT_WAIT = KeyedFollower.waitWithin(CHANGE_TIME);
 
-  /** Pause behind records, in which more of them may come. */
-  private static final Duration GATHER = Duration.ofMillis(200);
+  /** Pause after a read that returned records, in which further records may arrive. */
+  private static final Duration BATCH_PAUSE = Duration.ofMillis(200);
 
   private static final String TOPIC = "t";
 
   private final VirtualLoop time = new VirtualLoop();
-  private final TroubledStore store = new TroubledStore(time);
+  private final FaultyStore store = new FaultyStore(time);
   private final SilentEventLog log = new SilentEventLog();
-  private final Heard heard = new Heard();
+  private final RecordingListener listener = new RecordingListener();
 
-  /** Log that is away, or has forgotten its history, as the test says. */
-  private static final class TroubledStore extends InMemoryLogStore {
+  /** Log that is unavailable, slow or has lost its history, as the test sets. */
+  private static final class FaultyStore extends InMemoryLogStore {
 
-    private boolean away;
-    private boolean forgotten;
+    private boolean unavailable;
+    private boolean historyLost;
     private int silentLists;
     private int failures;
-    private Duration slowness = Duration.ZERO;
+    private Duration replyDelay = Duration.ZERO;
     private int reads;
     private final List<Duration> waits = new ArrayList<>();
 
     private final VirtualLoop time;
 
-    private TroubledStore(VirtualLoop time) {
+    private FaultyStore(VirtualLoop time) {
       super(time.loop(), 1);
       this.time = time;
     }
@@ -57,15 +57,15 @@
     public CompletionStage<LogPage> read(String topic, int partition, long from, Duration wait) {
       reads++;
       waits.add(wait);
-      if (!slowness.isZero()) {
-        return late(super.read(topic, partition, from, wait));
+      if (!replyDelay.isZero()) {
+        return delayed(super.read(topic, partition, from, wait));
       }
-      if (away || failures > 0) {
+      if (unavailable || failures > 0) {
         failures--;
         return failure();
       }
-      if (forgotten) {
-        forgotten = false;
+      if (historyLost) {
+        historyLost = false;
         return CompletableFuture.completedFuture(new LogPage(List.of(), from, true, true));
       }
       return super.read(topic, partition, from, wait);
@@ -77,34 +77,37 @@
         silentLists--;
         return new CompletableFuture<>();
       }
-      return away ? failure() : super.newest(topic, partition, after);
+      return unavailable ? failure() : super.newest(topic, partition, after);
     }
 
-    private CompletionStage<LogPage> late(CompletionStage<LogPage> answer) {
-      CompletableFuture<LogPage> late = new CompletableFuture<>();
+    private CompletionStage<LogPage> delayed(CompletionStage<LogPage> answer) {
+      CompletableFuture<LogPage> delayedPage = new CompletableFuture<>();
       answer.thenAccept(
           page ->
               time.loop()
-                  .schedule(() -> late.complete(page), slowness.toMillis(), TimeUnit.MILLISECONDS));
-      return late;
+                  .schedule(
+                      () -> delayedPage.complete(page),
+                      replyDelay.toMillis(),
+                      TimeUnit.MILLISECONDS));
+      return delayedPage;
     }
 
     private static <T> CompletionStage<T> failure() {
       return CompletableFuture.failedFuture(
-          new StoreException(StoreException.Kind.NOT_DONE, "away"));
+          new StoreException(StoreException.Kind.NOT_DONE, "unavailable"));
     }
   }
 
-  /** Keeps what a follower tells. */
-  private static final class Heard implements KeyedFollower.Listener {
+  /** Records the notifications of a follower. */
+  private static final class RecordingListener implements KeyedFollower.Listener {
 
     private final List<String> keys = new ArrayList<>();
-    private int wholes;
+    private int reloads;
     private @Nullable Duration outage;
 
     @Override
     public void onAll(List<KeyedRecord> records) {
-      wholes++;
+      reloads++;
       keys.clear();
       onRecords(records);
     }
@@ -115,82 +118,92 @@
     }
 
     @Override
-    public void onRegained(Duration lasted) {
-      outage = lasted;
+    public void onRegained(Duration duration) {
+      outage = duration;
     }
   }
 
   @Test
-  void tellsWhatWasThereAndWhatComes() {
+  void reportsExistingAndNewRecords() {
     put("a");
-    follow(PROMPT);
+    follow(PROMPT_WAIT);
     put("b");
     time.advance(Duration.ofMillis(5));
-    assertEquals(List.of("a", "b"), heard.keys);
+    assertEquals(List.of("a", "b"), listener.keys);
   }
 
-  /** An endpoint that left stays in use for good: its removal was in the part that is forgotten. */
+  /**
+   * Guards against an endpoint that stays in use after it has left, because its removal was in the
+   * lost part of the history.
+   */
   @Test
-  void tellsTheWholeContentAnewWhenHistoryIsGone() {
+  void reportsTheWholeContentAgainWhenHistoryIsGone() {
     put("a");
-    follow(PROMPT);
+    follow(PROMPT_WAIT);
     drop("a");
     put("b");
-    store.forgotten = true;
+    store.historyLost = true;
     time.advance(Duration.ofSeconds(2));
-    assertEquals(List.of("b"), heard.keys);
-    assertEquals(2, heard.wholes);
+    assertEquals(List.of("b"), listener.keys);
+    assertEquals(2, listener.reloads);
   }
 
   @Test
-  void goesOnAfterAnOutageAndTellsHowLongItWas() {
-    follow(PROMPT);
-    store.away = true;
+  void continuesAfterAnOutageAndReportsItsDuration() {
+    follow(PROMPT_WAIT);
+    store.unavailable = true;
     time.advance(Duration.ofSeconds(4));
     put("a");
-    store.away = false;
+    store.unavailable = false;
     time.advance(Duration.ofSeconds(1));
-    assertEquals(List.of("a"), heard.keys);
-    Duration outage = heard.outage;
+    assertEquals(List.of("a"), listener.keys);
+    Duration outage = listener.outage;
     assertTrue(outage != null && outage.compareTo(Duration.ofSeconds(2)) > 0, "outage " + outage);
   }
 
   /**
-   * A change is seen seconds after an outage's end: the read that would have found it waited for a
-   * further one, and nobody knew meanwhile whether the store answers.
+   * Guards against a change that is noticed only seconds after the end of an outage. The read that
+   * returned the change waited for a further one, and meanwhile no component knew whether the store
+   * was available.
    */
   @Test
-  void readsWithoutWaitingUntilTheStoreAnswers() {
+  void readsWithoutWaitingUntilTheStoreIsAvailable() {
     follow(KeyedFollower.UNHURRIED);
-    store.away = true;
+    store.unavailable = true;
     time.advance(Duration.ofSeconds(12));
     store.waits.clear();
     time.advance(Duration.ofSeconds(1));
     assertTrue(store.waits.stream().allMatch(Duration.ZERO::equals), store.waits.toString());
-    store.away = false;
+    store.unavailable = false;
     time.advance(Duration.ofSeconds(1));
     assertEquals(KeyedFollower.UNHURRIED, store.waits.get(store.waits.size() - 1));
   }
 
-  /** Each change in the whole of what was cut is told once the store answers, none twice. */
+  /**
+   * Checks that each change made during a cut read is reported once the store is available again,
+   * and none twice.
+   */
   @Test
-  void tellsWhatWasMadeWhileItsReadWasCut() {
+  void reportsChangesMadeDuringACutRead() {
     put("a");
-    follow(PROMPT);
+    follow(PROMPT_WAIT);
     store.silence();
     put("b");
     time.advance(Duration.ofMillis(700));
     store.cutReads();
     time.advance(Duration.ofMillis(200));
-    assertEquals(List.of("a", "b"), heard.keys);
-    assertEquals(1, heard.wholes);
+    assertEquals(List.of("a", "b"), listener.keys);
+    assertEquals(1, listener.reloads);
   }
 
-  /** A cut read whose part of the history is gone finds removed keys gone, and added ones there. */
+  /**
+   * Checks the content after a cut read whose part of the history is gone: removed keys are gone,
+   * and added keys are there.
+   */
   @Test
-  void tellsTheWholeContentWhenTheCutReadsHistoryIsGone() {
+  void reportsTheWholeContentWhenTheHistoryOfACutReadIsGone() {
     put("a");
-    follow(PROMPT);
+    follow(PROMPT_WAIT);
     store.silence();
     drop("a");
     put("b");
@@ -198,126 +211,151 @@
     store.forgetHistory(TOPIC, 0);
     store.cutReads();
     time.advance(Duration.ofMillis(200));
-    assertEquals(List.of("b"), heard.keys);
-    assertEquals(2, heard.wholes);
+    assertEquals(List.of("b"), listener.keys);
+    assertEquals(2, listener.reloads);
   }
 
-  /** A change is in force seconds late: the read that would have found it had gone silent. */
+  /**
+   * Guards against a change that takes effect seconds late, because the read that would have
+   * returned it had gone silent.
+   */
   @Test
-  void tellsOfAChangeInTimeThoughItsReadIsSilent() {
-    follow(PROMPT);
+  void reportsAChangeInTimeWhenItsReadIsSilent() {
+    follow(PROMPT_WAIT);
     store.silence();
     put("a");
     time.advance(CHANGE_TIME.dividedBy(4).multipliedBy(3));
-    assertEquals(List.of("a"), heard.keys);
+    assertEquals(List.of("a"), listener.keys);
   }
 
-  /** The same where the history is gone, and the call that loads the list anew is silent. */
+  /**
+   * Guards against the same fault when the history is gone and the call that reloads the list is
+   * silent.
+   */
   @Test
-  void tellsOfAChangeInTimeThoughItsListIsSilent() {
-    follow(PROMPT);
-    store.forgotten = true;
+  void reportsAChangeInTimeWhenItsListIsSilent() {
+    follow(PROMPT_WAIT);
+    store.historyLost = true;
     store.silentLists = 1;
-    time.advance(PROMPT);
+    time.advance(PROMPT_WAIT);
     assertEquals(0, store.silentLists);
     put("a");
     time.advance(CHANGE_TIME);
-    assertEquals(List.of("a"), heard.keys);
+    assertEquals(List.of("a"), listener.keys);
   }
 
-  /** A change is seen late though the store is back: the first repeat came after a pause. */
+  /**
+   * Guards against a change that is noticed late although the store is back, because the first
+   * retry came after a pause.
+   */
   @Test
-  void readsAgainAtOnceAfterAFirstFailure() {
-    follow(PROMPT);
+  void retriesImmediatelyAfterTheFirstFailure() {
+    follow(PROMPT_WAIT);
     store.failures = 1;
     put("a");
-    time.advance(GATHER.minusMillis(1));
+    time.advance(BATCH_PAUSE.minusMillis(1));
     put("b");
     time.advance(Duration.ofMillis(5));
     assertEquals(0, store.failures);
-    assertEquals(List.of("a", "b"), heard.keys);
+    assertEquals(List.of("a", "b"), listener.keys);
   }
 
-  /** A change is seen late though others of the process have found the store answering. */
+  /**
+   * Guards against a change that is noticed late although other components of the process have
+   * found the store available.
+   */
   @Test
-  void readsAtOnceInPlaceOfAPauseWhenTold() {
-    KeyedFollower follower = follow(PROMPT);
-    store.away = true;
+  void readNowEndsAPause() {
+    KeyedFollower follower = follow(PROMPT_WAIT);
+    store.unavailable = true;
     time.advance(Duration.ofSeconds(4));
     put("a");
-    store.away = false;
+    store.unavailable = false;
     store.reads = 0;
     follower.readNow();
     time.advance(Duration.ofMillis(2));
-    assertEquals(List.of("a"), heard.keys);
-    // The one that found the change; the next one waits until more may have come.
+    assertEquals(List.of("a"), listener.keys);
+    // This is the read that found the change. The next read is delayed until further records may
+    // have arrived.
     assertEquals(1, store.reads);
   }
 
-  /** The same where its read was made in the outage and is silent. */
+  /**
+   * Guards against the same fault when the follower's read was made during the outage and is
+   * silent.
+   */
   @Test
-  void readsAtOnceBesideASilentReadWhenTold() {
-    KeyedFollower follower = follow(PROMPT);
+  void readNowReadsInParallelWithASilentRead() {
+    KeyedFollower follower = follow(PROMPT_WAIT);
     store.silence();
     put("a");
     time.advance(Duration.ofMillis(2));
     follower.readNow();
     time.advance(Duration.ofMillis(2));
-    assertEquals(List.of("a"), heard.keys);
+    assertEquals(List.of("a"), listener.keys);
   }
 
-  /** A follower that finds the store itself reads twice: it is told of its own answer. */
+  /**
+   * Guards against a second read of the follower that found the store available itself, because it
+   * is notified of its own reply.
+   */
   @Test
-  void makesNoSecondReadWhenToldOfItsOwnAnswer() {
-    KeyedFollower follower = follow(PROMPT);
+  void readNowMakesNoSecondReadAfterItsOwnReply() {
+    KeyedFollower follower = follow(PROMPT_WAIT);
     store.reads = 0;
     put("a");
     follower.readNow();
-    time.advance(GATHER.minusMillis(5));
+    time.advance(BATCH_PAUSE.minusMillis(5));
     assertEquals(0, store.reads);
-    assertEquals(List.of("a"), heard.keys);
+    assertEquals(List.of("a"), listener.keys);
   }
 
-  /** A store that is slow is called twice as often, and becomes slower still. */
+  /** Guards against calling a slow store twice as often, which makes it slower still. */
   @Test
   void makesNoSecondReadWhileTheStoreIsSlow() {
-    store.slowness = Duration.ofMillis(240);
-    follow(PROMPT);
+    store.replyDelay = Duration.ofMillis(240);
+    follow(PROMPT_WAIT);
     store.reads = 0;
     time.advance(Duration.ofSeconds(62));
     assertEquals(50, store.reads);
   }
 
-  /** Waiting reads are paid for: at rest there is one a wait. */
+  /**
+   * Guards against needless reads, since each waiting read costs money. While nothing changes,
+   * there is one read per wait time.
+   */
   @Test
-  void makesOneReadAWaitAtRest() {
-    follow(PROMPT);
+  void makesOneReadPerWaitTimeWhileNothingChanges() {
+    follow(PROMPT_WAIT);
     store.reads = 0;
     time.advance(Duration.ofSeconds(60));
     assertEquals(60, store.reads);
   }
 
-  /** A process takes what it knows for fresh, by the end of a read that began long before. */
+  /**
+   * Guards against a process that considers its copy of the log current because a read ended that
+   * had begun long before.
+   */
   @Test
-  void provesWhatWasThereWhenItsReadBegan() {
-    KeyedFollower follower = follow(PROMPT);
+  void isFreshAsOfTheBeginOfItsRead() {
+    KeyedFollower follower = follow(PROMPT_WAIT);
     Instant loaded = follower.provenAt();
-    time.advance(PROMPT.minusMillis(10));
+    time.advance(PROMPT_WAIT.minusMillis(10));
     assertTrue(follower.provenAt().isBefore(loaded.plus(Duration.ofMillis(10))));
-    time.advance(PROMPT.plusMillis(20));
-    assertTrue(!follower.provenAt().isBefore(loaded.plus(PROMPT)));
-    Instant proven = follower.provenAt();
-    store.away = true;
+    time.advance(PROMPT_WAIT.plusMillis(20));
+    assertTrue(!follower.provenAt().isBefore(loaded.plus(PROMPT_WAIT)));
+    Instant freshBeforeOutage = follower.provenAt();
+    store.unavailable = true;
     time.advance(CHANGE_TIME);
-    assertTrue(!follower.provenAt().isAfter(proven.plus(PROMPT).plusMillis(10)));
+    assertTrue(!follower.provenAt().isAfter(freshBeforeOutage.plus(PROMPT_WAIT).plusMillis(10)));
   }
 
-  /** Requests without a route become as many calls to the store. */
+  /** Guards against requests without a route that cause one call to the store each. */
   @Test
-  void sharesOneReadAmongAllWhoAskForAProof() {
-    KeyedFollower follower = follow(PROMPT);
-    time.advance(PROMPT.dividedBy(2));
-    Instant asked = time.instant();
+  void sharesOneReadAmongConcurrentRefreshes() {
+    KeyedFollower follower = follow(PROMPT_WAIT);
+    time.advance(PROMPT_WAIT.dividedBy(2));
+    Instant requestedAt = time.instant();
     store.reads = 0;
     CompletionStage<Void> first = follower.refresh();
     for (int i = 0; i < 100; i++) {
@@ -326,47 +364,56 @@
     assertEquals(1, store.reads);
     time.advance(Duration.ofMillis(2));
     assertTrue(first.toCompletableFuture().isDone());
-    assertTrue(!follower.provenAt().isBefore(asked));
+    assertTrue(!follower.provenAt().isBefore(requestedAt));
     assertEquals(2, store.reads);
   }
 
-  /** The same while the store is away, when each would find that out anew. */
+  /**
+   * Guards against the same fault while the store is unavailable, when each request would find that
+   * out again.
+   */
   @Test
-  void asksNothingForAProofWhileTheStoreIsAway() {
-    KeyedFollower follower = follow(PROMPT);
-    store.away = true;
+  void refreshMakesNoCallWhileTheStoreIsUnavailable() {
+    KeyedFollower follower = follow(PROMPT_WAIT);
+    store.unavailable = true;
     time.advance(Duration.ofSeconds(4));
     store.reads = 0;
     assertTrue(follower.refresh().toCompletableFuture().isCompletedExceptionally());
     assertEquals(0, store.reads);
   }
 
-  /** Idle processes of a large fleet use up what the store can answer, and pay for each call. */
+  /**
+   * Guards against idle processes of a large fleet that use up the capacity of the store and pay
+   * for each call.
+   */
   @Test
-  void asksSeldomForWhatMayBeSeenLate() {
+  void readsSeldomForChangesThatMayBeNoticedLate() {
     follow(KeyedFollower.UNHURRIED);
     store.reads = 0;
     time.advance(Duration.ofSeconds(60));
     assertEquals(6, store.reads);
   }
 
-  /** Each of a hundred records that come within a second costs each process of a fleet a call. */
+  /**
+   * Guards against a hundred records within a second that cost each process of a fleet one call
+   * each.
+   */
   @Test
-  void gathersRecordsThatComeTogether() {
-    follow(PROMPT);
+  void batchesRecordsThatArriveTogether() {
+    follow(PROMPT_WAIT);
     store.reads = 0;
     for (int i = 0; i < 100; i++) {
       put("k" + i);
       time.advance(Duration.ofMillis(10));
     }
     time.advance(Duration.ofMillis(300));
-    assertEquals(100, heard.keys.size());
+    assertEquals(100, listener.keys.size());
     assertTrue(store.reads <= 7, store.reads + " reads");
   }
 
   private KeyedFollower follow(Duration wait) {
     KeyedFollower follower =
-        new KeyedFollower(store, TOPIC, 0, wait, time.loop(), time, log, heard);
+        new KeyedFollower(store, TOPIC, 0, wait, time.loop(), time, log, listener);
     follower.start();
     time.advance(Duration.ofMillis(5));
     return follower;
