--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/relay/RelayChannels.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/relay/RelayChannels.java
@@ -12,17 +12,20 @@
 import io.netty.handler.codec.LengthFieldBasedFrameDecoder;
 import io.netty.handler.codec.LengthFieldPrepender;
 
-/** Frames of a link: four bytes of length, then one message. */
+/** Sets up the channels of links. A frame consists of four bytes of length and one message. */
 final class RelayChannels {
 
-  /** Longest frame; a page of the log is at most 1 MiB, in base64 1.4 MiB, an append 2 MiB. */
+  /**
+   * Maximum frame size. A page of the log has at most 1 MiB, which is 1.4 MiB in base64; an append
+   * has at most 2 MiB.
+   */
   private static final int MAX_FRAME_BYTES = 8 * 1024 * 1024;
 
   private static final int LENGTH_BYTES = 4;
 
   private RelayChannels() {}
 
-  /** Sets up a channel whose messages go to a receiver. */
+  /** Sets up a channel that passes its messages to a receiver. */
   static void setUp(Channel channel, Receiver receiver) {
     channel
         .pipeline()
@@ -32,22 +35,22 @@
         .addLast(new Handler(receiver));
   }
 
-  /** Sends a message; the future ends once the socket has taken it. */
+  /** Sends a message. The future completes once the socket has accepted the bytes. */
   static ChannelFuture send(Channel channel, RelayMessage message) {
     return channel.writeAndFlush(Unpooled.wrappedBuffer(RelayCodec.encode(message)));
   }
 
-  /** Takes what comes on a channel. */
+  /** Receiver of the messages of a channel. */
   interface Receiver {
 
-    /** Takes a message. */
+    /** Called with each message. */
     void received(Channel channel, RelayMessage message);
 
-    /** Is told that the channel is closed. */
+    /** Called when the channel is closed. */
     void closed(Channel channel, String cause);
   }
 
-  /** Decodes frames; a channel that brings anything else is closed. */
+  /** Decodes frames, and closes a channel that receives anything else. */
   private static final class Handler extends SimpleChannelInboundHandler<ByteBuf> {
 
     private final Receiver receiver;
@@ -71,7 +74,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable failure) {
-      // The receiver is told by channelInactive, which follows.
+      // The callback channelInactive follows and notifies the receiver.
       cause = "the link failed: " + failure;
       ctx.close();
     }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/relay/RelayCodec.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/relay/RelayCodec.java
@@ -11,18 +11,18 @@
 import org.msgpack.core.MessageBufferPacker;
 import org.msgpack.core.MessagePack;
 
-/** Writes and reads the messages of a link, in MessagePack. */
+/** Encodes and decodes the messages of a link as MessagePack. */
 final class RelayCodec {
 
   private static final int CALL = 1;
   private static final int REPLY = 2;
   private static final int FAILURE = 3;
 
-  private static final int LEAST_STATUS = 100;
-  private static final int MOST_STATUS = 999;
+  private static final int MIN_STATUS = 100;
+  private static final int MAX_STATUS = 999;
 
-  /** Longest time for a call; those of the store take 35 s at most. */
-  private static final Duration MAX_TIME = Duration.ofMinutes(5);
+  /** Maximum timeout of a call; calls to the store take at most 35 s. */
+  private static final Duration MAX_TIMEOUT = Duration.ofMinutes(5);
 
   private RelayCodec() {}
 
@@ -46,9 +46,9 @@
   }
 
   /**
-   * Returns the message that a frame holds.
+   * Decodes the message in a frame.
    *
-   * @throws UnreadableException if it holds none
+   * @throws UnreadableException if the frame does not contain a valid message
    */
   static RelayMessage decode(byte[] bytes) {
     return MessageReader.read(
@@ -93,7 +93,7 @@
   }
 
   private static RelayMessage.Reply unpackReply(long id, MessageReader reader) throws IOException {
-    int status = reader.number("status", LEAST_STATUS, MOST_STATUS);
+    int status = reader.number("status", MIN_STATUS, MAX_STATUS);
     Map<String, String> headers = unpackHeaders(reader);
     return new RelayMessage.Reply(id, status, headers, reader.bytes());
   }
@@ -103,7 +103,7 @@
     RelayTarget target = targets[reader.number("target", 0, targets.length - 1)];
     String method = HttpText.headerName("method", reader.text());
     String path = HttpText.path("path", reader.text());
-    Duration timeout = reader.millis("timeout", MAX_TIME);
+    Duration timeout = reader.millis("timeout", MAX_TIMEOUT);
     Map<String, String> headers = unpackHeaders(reader);
     return new RelayMessage.Call(id, target, method, path, headers, reader.bytes(), timeout);
   }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/relay/RelayJobPeers.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/relay/RelayJobPeers.java
@@ -17,23 +17,24 @@
 import java.util.concurrent.CompletionStage;
 import org.jspecify.annotations.Nullable;
 
-/** Asks the other processes about jobs over links. */
+/** Forwards calls about jobs to the other processes over links. */
 public final class RelayJobPeers implements JobPeers {
 
   private static final String PARTITION_KEY = "jobs/";
 
   /**
-   * Time for which a process that did not answer about jobs is not asked; restarts take 1 to 2 s.
-   * It is not taken for silent otherwise: a slow log delays answers about jobs alone.
+   * Time for which no further call about jobs goes to a process that did not reply to one; restarts
+   * take 1 to 2 s. The process is not considered silent otherwise, since a slow log delays only
+   * replies about jobs.
    */
-  private static final Duration SILENT_TIME = Duration.ofMillis(1_200);
+  private static final Duration BACKOFF = Duration.ofMillis(1_200);
 
   private final FleetView fleet;
   private final RelayTransport transport;
   private final InstantSource clock;
-  private final Map<String, Instant> silentUntil = new HashMap<>();
+  private final Map<String, Instant> unreachableUntil = new HashMap<>();
 
-  /** Creates peers of a fleet. */
+  /** Creates the peers of a fleet, without any failed call. */
   public RelayJobPeers(FleetView fleet, RelayTransport transport, InstantSource clock) {
     this.fleet = fleet;
     this.transport = transport;
@@ -55,7 +56,7 @@
     Instant now = clock.instant();
     return fleet.lastKnown(name) != null
         && !fleet.seemsSilent(name, now)
-        && !now.isBefore(silentUntil.getOrDefault(name, Instant.MIN));
+        && !now.isBefore(unreachableUntil.getOrDefault(name, Instant.MIN));
   }
 
   @Override
@@ -71,7 +72,7 @@
     @Nullable GatewayInstance peer = fleet.lastKnown(name);
     if (peer == null) {
       return CompletableFuture.failedFuture(
-          new IllegalStateException("The list has no instance " + name));
+          new IllegalStateException("Not in the list of instances: " + name));
     }
     Map<String, String> headers = new LinkedHashMap<>();
     request.headers().forEach(header -> headers.put(header.getKey(), header.getValue()));
@@ -88,9 +89,9 @@
         .whenComplete(
             (reply, failure) -> {
               if (failure == null) {
-                silentUntil.remove(name);
+                unreachableUntil.remove(name);
               } else {
-                silentUntil.put(name, clock.instant().plus(SILENT_TIME));
+                unreachableUntil.put(name, clock.instant().plus(BACKOFF));
               }
             });
   }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/relay/RelayMessage.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/relay/RelayMessage.java
@@ -3,21 +3,21 @@
 import java.time.Duration;
 import java.util.Map;
 
-/** A message on a link between two gateways; each reply names the call that it answers. */
+/** A message on a link between two gateways. Each reply names the call that it answers. */
 sealed interface RelayMessage {
 
-  /** Returns the number of the call on its link. */
+  /** Returns the id of the call, unique on its link. */
   long id();
 
   /**
-   * Asks a peer to make a call to the store, or to answer one about jobs.
+   * Request to a peer to call the store, or to answer a call about jobs itself.
    *
-   * @param target who is to answer
+   * @param target recipient of the call
    * @param method method of the call
    * @param path path and query
    * @param headers headers of the call
    * @param body body; may be empty
-   * @param timeout time within which the answer is to be there
+   * @param timeout time within which a reply is expected
    */
   record Call(
       long id,
@@ -29,15 +29,15 @@
       Duration timeout)
       implements RelayMessage {}
 
-  /** The whole reply of the store, as the peer got it, or of the peer. */
+  /** Complete reply of the store, as the peer received it, or of the peer itself. */
   record Reply(long id, int status, Map<String, String> headers, byte[] body)
       implements RelayMessage {}
 
   /**
-   * Tells that the peer got no whole reply.
+   * Notice that the peer got no complete reply.
    *
-   * @param unsent whether the call certainly was not carried out
-   * @param cause what went wrong
+   * @param unsent whether the call was certainly not carried out
+   * @param cause description of the failure
    */
   record Failure(long id, boolean unsent, String cause) implements RelayMessage {}
 }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/relay/RelayServer.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/relay/RelayServer.java
@@ -19,57 +19,62 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Makes calls to the store for peers that do not reach it, and answers their calls about jobs.
+ * Calls the store for peers that cannot reach it, and answers peers' calls about jobs.
  *
- * <p>A call is never handed on to another peer, so that calls do not go round among gateways while
- * the store is away for all, or while none of them holds a job.
+ * <p>The server never forwards a call to another peer, so that calls do not circulate among
+ * gateways while the store is unavailable to all, or while none of them holds a job.
  */
 public final class RelayServer {
 
   /**
-   * Calls of peers at a time; 35 of 100 peers with some ten calls each at 89 gateways come to four
-   * a gateway, so that this is reached only when nearly all peers ask one.
+   * Maximum number of concurrent store calls for peers. If 35 of 100 peers make some ten calls each
+   * through 89 gateways, this comes to four calls per gateway. The limit is therefore reached only
+   * when nearly all peers call one gateway.
    */
   private static final int MAX_CALLS = 256;
 
   /**
-   * Calls about jobs at a time. Each job is read twice a second by a caller that waits up to a
-   * second, so that this many jobs of one holder can be waited for at once.
+   * Maximum number of concurrent calls about jobs. Each job is read twice a second by a caller that
+   * waits up to a second, so callers can wait for this many jobs of one holder at the same time.
    */
   private static final int MAX_JOB_CALLS = 512;
 
   /**
-   * Bytes of answers about jobs that peers have not taken yet; above it further calls are refused.
-   * A page of results is 0.9 MB at most, and an instance has some 100 MB for buffers.
+   * Limit of the bytes of replies about jobs that are not written to the sockets; above it further
+   * calls are refused. A page of results has at most 0.9 MB, and an instance has some 100 MB for
+   * buffers.
    */
-  private static final long MAX_WAITING_BYTES = 16L * 1024 * 1024;
+  private static final long MAX_UNSENT_BYTES = 16L * 1024 * 1024;
 
   private final HttpCaller store;
   private final Supplier<InetSocketAddress> address;
-  private final BooleanSupplier away;
+  private final BooleanSupplier unavailable;
   private final EventLog log;
   private int calls;
   private int jobCalls;
-  private long waitingBytes;
+  private long unsentBytes;
 
   /**
    * Creates a server.
    *
-   * @param store makes calls to the store itself
-   * @param address where the store is now
-   * @param away whether this process does not reach the store either
-   * @param log decisions
+   * @param store calls the store directly
+   * @param address supplies the store's current address
+   * @param unavailable whether this process cannot reach the store either
+   * @param log log of decisions
    */
   public RelayServer(
-      HttpCaller store, Supplier<InetSocketAddress> address, BooleanSupplier away, EventLog log) {
+      HttpCaller store,
+      Supplier<InetSocketAddress> address,
+      BooleanSupplier unavailable,
+      EventLog log) {
     this.store = store;
     this.address = address;
-    this.away = away;
+    this.unavailable = unavailable;
     this.log = log;
   }
 
   /**
-   * Binds an address and takes links there.
+   * Binds an address and accepts links there.
    *
    * @param jobs answers calls about jobs
    */
@@ -90,7 +95,7 @@
         .syncUninterruptibly();
   }
 
-  /** One peer's link. */
+  /** Link of one peer. */
   private final class Peer implements RelayChannels.Receiver {
 
     private final HttpCaller jobs;
@@ -104,13 +109,13 @@
       if (!(message instanceof RelayMessage.Call call)) {
         channel.close();
       } else if (call.target() == RelayTarget.JOBS) {
-        answerAboutJob(channel, call);
-      } else if (away.getAsBoolean()) {
-        refuse(channel, call, "this gateway does not reach the store either");
+        handleJobCall(channel, call);
+      } else if (unavailable.getAsBoolean()) {
+        refuse(channel, call, "this gateway cannot reach the store either");
       } else if (calls >= MAX_CALLS) {
-        refuse(channel, call, "this gateway makes enough calls for others");
+        refuse(channel, call, "this gateway has reached its limit of store calls for peers");
       } else {
-        make(channel, call);
+        callStore(channel, call);
       }
     }
 
@@ -124,40 +129,41 @@
       RelayChannels.send(channel, new RelayMessage.Failure(call.id(), true, cause));
     }
 
-    private void answerAboutJob(Channel channel, RelayMessage.Call call) {
-      if (jobCalls >= MAX_JOB_CALLS || waitingBytes > MAX_WAITING_BYTES) {
-        refuse(channel, call, "this gateway answers enough calls about jobs");
+    private void handleJobCall(Channel channel, RelayMessage.Call call) {
+      if (jobCalls >= MAX_JOB_CALLS || unsentBytes > MAX_UNSENT_BYTES) {
+        refuse(channel, call, "this gateway has reached its limit of calls about jobs");
         return;
       }
-      // Counted once the call is made: what makes none would be counted for ever.
-      CompletionStage<HttpReply> made = jobs.call(whole(call));
+      // The call is counted only after it was made. A call that throws would otherwise stay counted
+      // forever.
+      CompletionStage<HttpReply> reply = jobs.call(toHttpCall(call));
       jobCalls++;
-      made.whenComplete(
-          (reply, failure) -> {
+      reply.whenComplete(
+          (received, failure) -> {
             jobCalls--;
-            long bytes = reply == null ? 0 : reply.body().length;
-            waitingBytes += bytes;
-            RelayChannels.send(channel, answer(call.id(), reply, failure))
-                .addListener(written -> waitingBytes -= bytes);
+            long bytes = received == null ? 0 : received.body().length;
+            unsentBytes += bytes;
+            RelayChannels.send(channel, toMessage(call.id(), received, failure))
+                .addListener(written -> unsentBytes -= bytes);
           });
     }
 
-    private HttpCall whole(RelayMessage.Call call) {
+    private HttpCall toHttpCall(RelayMessage.Call call) {
       return new HttpCall(
           address.get(), call.method(), call.path(), call.headers(), call.body(), call.timeout());
     }
 
-    private void make(Channel channel, RelayMessage.Call call) {
-      CompletionStage<HttpReply> made = store.call(whole(call));
+    private void callStore(Channel channel, RelayMessage.Call call) {
+      CompletionStage<HttpReply> reply = store.call(toHttpCall(call));
       calls++;
-      made.whenComplete(
-          (reply, failure) -> {
+      reply.whenComplete(
+          (received, failure) -> {
             calls--;
-            RelayChannels.send(channel, answer(call.id(), reply, failure));
+            RelayChannels.send(channel, toMessage(call.id(), received, failure));
           });
     }
 
-    private static RelayMessage answer(
+    private static RelayMessage toMessage(
         long id, @Nullable HttpReply reply, @Nullable Throwable failure) {
       if (reply != null) {
         return new RelayMessage.Reply(id, reply.status(), reply.headers(), reply.body());
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/relay/RelayTarget.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/relay/RelayTarget.java
@@ -1,9 +1,9 @@
 package io.hawthornlb.gateway.relay;
 
-/** Who is to answer a call that a peer is asked to make. */
+/** Recipient of a call that a process sends to a peer. */
 public enum RelayTarget {
-  /** The store, which the asking process does not reach. */
+  /** The store, which the calling process cannot reach. */
   STORE,
-  /** The peer itself, which holds the jobs that the call is about. */
+  /** The peer itself, which holds the jobs of the call. */
   JOBS
 }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/relay/RelayTransport.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/relay/RelayTransport.java
@@ -5,12 +5,12 @@
 import io.hawthornlb.gateway.peer.GatewayInstance;
 import java.util.concurrent.CompletionStage;
 
-/** Has calls to the store made, and calls about jobs answered, by a peer. */
+/** Sends calls to peers, which pass them to the store or answer them from their jobs. */
 public interface RelayTransport {
 
   /**
-   * Has a peer make or answer a call; the stage fails with {@link
-   * io.hawthornlb.gateway.http.HttpCallException} when no whole reply came.
+   * Sends a call to a peer. The stage fails with {@link
+   * io.hawthornlb.gateway.http.HttpCallException} if no complete reply arrives.
    */
   CompletionStage<HttpReply> call(GatewayInstance peer, RelayTarget target, HttpCall call);
 }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/relay/RelayedJobCalls.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/relay/RelayedJobCalls.java
@@ -18,13 +18,13 @@
 import java.util.concurrent.CompletionStage;
 import java.util.function.LongSupplier;
 
-/** Answers calls about jobs that peers have passed on. */
+/** Answers calls about jobs that peers have forwarded. */
 public final class RelayedJobCalls implements HttpCaller {
 
   private final JobRequestRouter router;
   private final InstantSource clock;
 
-  /** Creates what answers from the jobs of a router. */
+  /** Creates a caller whose calls a router answers locally. */
   public RelayedJobCalls(JobRequestRouter router, InstantSource clock) {
     this.router = router;
     this.clock = clock;
@@ -44,9 +44,9 @@
             headers,
             call.body(),
             clock.instant());
-    WholeAnswer answer = new WholeAnswer();
-    LongSupplier bytes = router.answerLocally(request, answer);
-    return answer.reply.thenApply(reply -> withSize(reply, bytes.getAsLong()));
+    CompleteResponse response = new CompleteResponse();
+    LongSupplier bytes = router.answerLocally(request, response);
+    return response.reply.thenApply(reply -> withSize(reply, bytes.getAsLong()));
   }
 
   private static HttpReply withSize(HttpReply reply, long bytes) {
@@ -55,37 +55,37 @@
     return new HttpReply(reply.status(), headers, reply.body());
   }
 
-  /** Keeps the whole answer; calls about jobs have no other. */
-  private static final class WholeAnswer implements Responder {
+  /** Collects the complete response. Responses about jobs are never streamed. */
+  private static final class CompleteResponse implements Responder {
 
     private final CompletableFuture<HttpReply> reply = new CompletableFuture<>();
 
     @Override
     public void whole(int status, HttpHeaders headers, byte[] body) {
-      Map<String, String> kept = new LinkedHashMap<>();
-      headers.forEach(header -> kept.put(header.getKey(), header.getValue()));
-      reply.complete(new HttpReply(status, kept, body));
+      Map<String, String> copied = new LinkedHashMap<>();
+      headers.forEach(header -> copied.put(header.getKey(), header.getValue()));
+      reply.complete(new HttpReply(status, copied, body));
     }
 
     @Override
     public void head(int status, HttpHeaders headers) {
-      throw new UnsupportedOperationException("Answers about jobs are whole");
+      throw new UnsupportedOperationException("Responses about jobs are not streamed");
     }
 
     @Override
     public void part(ByteBuf content) {
       content.release();
-      throw new UnsupportedOperationException("Answers about jobs are whole");
+      throw new UnsupportedOperationException("Responses about jobs are not streamed");
     }
 
     @Override
     public void end() {
-      throw new UnsupportedOperationException("Answers about jobs are whole");
+      throw new UnsupportedOperationException("Responses about jobs are not streamed");
     }
 
     @Override
     public void breakOff() {
-      reply.completeExceptionally(new IllegalStateException("The answer was broken off"));
+      reply.completeExceptionally(new IllegalStateException("The response was aborted"));
     }
 
     @Override
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/relay/RelayingHttpCaller.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/relay/RelayingHttpCaller.java
@@ -19,20 +19,24 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Calls the store, and has peers call it while it does not answer this process.
+ * Calls the store directly, and through peers while the store is unavailable to this process.
  *
- * <p>Failure: the store turns some gateways away, or a cut parts them from it, while others reach
- * it. It shows as calls that are refused or get no answer. Guard: what certainly was not carried
- * out, or may be carried out twice, is handed to a peer at once; any other call ends as it did, and
- * whoever made it decides.
+ * <p>The store may refuse some gateways, or the network may cut them off from the store, while
+ * others reach it. Their calls are then refused or get no reply. A call that was certainly not
+ * carried out, or that may be carried out twice, is immediately passed to a peer. Any other call
+ * ends with its failure, and its caller decides what to do.
  *
- * <p>Failure: the store cuts all reads that wait and answers new ones. It would show as instances
- * that all take it for away and refuse each other for seconds. Guard: a read that was cut is made
- * again once, over another connection, before the store counts as away.
+ * <p>The store may cut all waiting reads and still answer new ones. All instances would then
+ * consider the store unavailable and refuse one another's calls for seconds. Therefore a read whose
+ * connection was cut is made once more, over another connection, before the store counts as
+ * unavailable.
  */
 public final class RelayingHttpCaller implements HttpCaller {
 
-  /** Peers that are asked for one call; each that does not reach the store costs a round trip. */
+  /**
+   * Maximum number of peers for one call; each peer that does not reach the store costs a round
+   * trip.
+   */
   private static final int MAX_PEERS = 2;
 
   private static final String READ = "GET";
@@ -42,18 +46,19 @@
   private final Supplier<List<GatewayInstance>> peers;
   private final InstantSource clock;
   private final EventLog log;
-  private final StoreReach reach = new StoreReach();
-  private final List<Runnable> regained = new CopyOnWriteArrayList<>();
-  private @Nullable String lastHelper;
+  private final StoreAvailability availability = new StoreAvailability();
+  private final List<Runnable> recoveryListeners = new CopyOnWriteArrayList<>();
+  private @Nullable String lastWorkingPeer;
 
   /**
    * Creates a caller.
    *
-   * @param direct calls the store itself
-   * @param transport has peers call it
-   * @param peers peers that do not seem silent, in the order in which they are asked
-   * @param clock time
-   * @param log decisions
+   * @param direct calls the store directly
+   * @param transport sends calls to peers
+   * @param peers supplies the peers that are not suspected of being silent, in the order in which
+   *     they are tried
+   * @param clock source of the current time
+   * @param log log of decisions
    */
   public RelayingHttpCaller(
       HttpCaller direct,
@@ -68,26 +73,26 @@
     this.log = log;
   }
 
-  /** Returns whether the store does not answer this process. */
+  /** Returns whether the store is unavailable to this process. */
   public boolean away() {
-    return reach.away();
+    return availability.unavailable();
   }
 
-  /** Calls a listener each time the store answers this process again. */
+  /** Adds a listener that runs each time the store becomes available to this process again. */
   public void onRegained(Runnable listener) {
-    regained.add(listener);
+    recoveryListeners.add(listener);
   }
 
   @Override
   public CompletionStage<HttpReply> call(HttpCall call) {
     Attempt attempt = new Attempt(call);
-    if (!reach.away()) {
+    if (!availability.unavailable()) {
       attempt.callDirectly();
     } else {
-      if (repeatable(call) && reach.probeDue(clock.instant(), call.timeout())) {
+      if (repeatable(call) && availability.probeDue(clock.instant(), call.timeout())) {
         attempt.probe();
       }
-      attempt.callPeersUnlessAnswered();
+      attempt.callPeersUnlessDone();
     }
     return attempt.result;
   }
@@ -96,14 +101,16 @@
     return call.method().equals(READ);
   }
 
-  private static boolean answered(@Nullable HttpReply reply) {
+  private static boolean succeeded(@Nullable HttpReply reply) {
     return reply != null && !reply.refused();
   }
 
-  /** Notes that the store did not answer a direct call. */
-  private void noteFailure(long number, @Nullable HttpReply reply, @Nullable Throwable failure) {
+  /** Records that the store refused a direct call or did not reply to it. */
+  private void recordDirectFailure(
+      long number, @Nullable HttpReply reply, @Nullable Throwable failure) {
     Instant now = clock.instant();
-    boolean lost = reply == null ? reach.unanswered(number, now) : reach.refused(now);
+    boolean lost =
+        reply == null ? availability.recordNoReply(number, now) : availability.recordRefusal(now);
     if (lost) {
       log.important("relay", "store.lost").with("cause", cause(reply, failure)).write();
     }
@@ -129,22 +136,22 @@
         : String.valueOf(failure);
   }
 
-  /** One call, by whichever ways it takes. */
+  /** One call, over all its attempts. */
   private final class Attempt {
 
     private final HttpCall call;
     private final CompletableFuture<HttpReply> result = new CompletableFuture<>();
     private @Nullable HttpReply lastReply;
-    private Throwable lastFailure = new HttpCallException("No peer reaches the store", true);
+    private Throwable lastFailure = new HttpCallException("No peer can reach the store", true);
     private final List<String> attempts = new ArrayList<>();
-    private int asked;
+    private int peersTried;
 
     private Attempt(HttpCall call) {
       this.call = call;
     }
 
     private void callDirectly() {
-      long number = reach.begin();
+      long number = availability.begin();
       Instant began = clock.instant();
       direct
           .call(call)
@@ -152,59 +159,65 @@
               (reply, failure) -> {
                 if (cut(failure) && repeatable(call)) {
                   log.routine("relay", "read.cut").with("path", call.path()).write();
-                  callDirectlyAgain(began);
+                  repeatDirectCall(began);
                 } else {
-                  answeredDirectly(number, began, reply, failure);
+                  onDirectReply(number, began, reply, failure);
                 }
               });
     }
 
-    private void callDirectlyAgain(Instant began) {
-      long number = reach.begin();
+    private void repeatDirectCall(Instant began) {
+      long number = availability.begin();
       direct
           .call(call)
-          .whenComplete((reply, failure) -> answeredDirectly(number, began, reply, failure));
+          .whenComplete((reply, failure) -> onDirectReply(number, began, reply, failure));
     }
 
-    private void answeredDirectly(
+    private void onDirectReply(
         long number, Instant began, @Nullable HttpReply reply, @Nullable Throwable failure) {
-      if (answered(reply)) {
-        take(reply);
+      if (succeeded(reply)) {
+        completeDirectly(reply);
       } else {
-        noteFailure(number, reply, failure);
-        tell("direct", reply, failure, began);
-        passOn(reply, failure);
+        recordDirectFailure(number, reply, failure);
+        recordAttempt("direct", reply, failure, began);
+        continueWithPeers(reply, failure);
       }
     }
 
-    /** Takes the store's own reply, and tells others if they may be waiting for one. */
-    private void take(HttpReply reply) {
-      boolean back = reach.answered();
-      if (back) {
+    /**
+     * Completes the call with the store's reply. Notifies the listeners if the store was
+     * unavailable before.
+     */
+    private void completeDirectly(HttpReply reply) {
+      boolean recovered = availability.recordReply();
+      if (recovered) {
         log.important("relay", "store.regained").write();
       }
       result.complete(reply);
-      if (back) {
-        regained.forEach(Runnable::run);
+      if (recovered) {
+        recoveryListeners.forEach(Runnable::run);
       }
     }
 
-    /** Finds out whether the store answers again; its answer counts if it is the first. */
+    /**
+     * Probes whether the store is available again. The probe's reply completes the call if no other
+     * reply was earlier.
+     */
     private void probe() {
-      long number = reach.begin();
+      long number = availability.begin();
       direct
           .call(call)
           .whenComplete(
               (reply, failure) -> {
-                if (answered(reply)) {
-                  take(reply);
+                if (succeeded(reply)) {
+                  completeDirectly(reply);
                 } else {
-                  noteFailure(number, reply, failure);
+                  recordDirectFailure(number, reply, failure);
                 }
               });
     }
 
-    private void callPeersUnlessAnswered() {
+    private void callPeersUnlessDone() {
       if (!result.isDone()) {
         callPeers();
       }
@@ -212,21 +225,22 @@
 
     private void callPeers() {
       Instant now = clock.instant();
-      GatewayInstance peer = asked < MAX_PEERS && reach.peersMayHelp(now) ? nextPeer() : null;
+      GatewayInstance peer =
+          peersTried < MAX_PEERS && availability.mayTryPeers(now) ? nextPeer() : null;
       if (peer == null) {
         giveUp(now);
         return;
       }
-      asked++;
+      peersTried++;
       transport
           .call(peer, RelayTarget.STORE, call)
           .whenComplete(
               (reply, failure) -> {
                 if (reply != null && !reply.refused()) {
-                  helped(peer, reply);
+                  onPeerReply(peer, reply);
                 } else {
-                  tell(peer.name(), reply, failure, now);
-                  notHelped(peer, reply, failure);
+                  recordAttempt(peer.name(), reply, failure, now);
+                  onPeerFailure(peer, reply, failure);
                 }
               });
     }
@@ -234,35 +248,38 @@
     private @Nullable GatewayInstance nextPeer() {
       List<GatewayInstance> candidates = peers.get();
       for (GatewayInstance candidate : candidates) {
-        if (asked == 0 && candidate.name().equals(lastHelper)) {
+        if (peersTried == 0 && candidate.name().equals(lastWorkingPeer)) {
           return candidate;
         }
       }
-      return candidates.size() > asked ? candidates.get(asked) : null;
+      return candidates.size() > peersTried ? candidates.get(peersTried) : null;
     }
 
-    private void helped(GatewayInstance peer, HttpReply reply) {
-      if (!peer.name().equals(lastHelper)) {
-        lastHelper = peer.name();
+    private void onPeerReply(GatewayInstance peer, HttpReply reply) {
+      if (!peer.name().equals(lastWorkingPeer)) {
+        lastWorkingPeer = peer.name();
         log.important("relay", "peer.helps").with("instance", peer.name()).write();
       }
       result.complete(reply);
     }
 
-    private void notHelped(
+    private void onPeerFailure(
         GatewayInstance peer, @Nullable HttpReply reply, @Nullable Throwable failure) {
-      if (peer.name().equals(lastHelper)) {
-        lastHelper = null;
+      if (peer.name().equals(lastWorkingPeer)) {
+        lastWorkingPeer = null;
       }
       log.routine("relay", "peer.failed")
           .with("instance", peer.name())
           .with("cause", cause(reply, failure))
           .write();
-      passOn(reply, failure);
+      continueWithPeers(reply, failure);
     }
 
-    /** Hands the call on if that does no harm, and ends it as it is otherwise. */
-    private void passOn(@Nullable HttpReply reply, @Nullable Throwable failure) {
+    /**
+     * Passes the call to a peer if a repetition does no harm, and otherwise ends the call with its
+     * last outcome.
+     */
+    private void continueWithPeers(@Nullable HttpReply reply, @Nullable Throwable failure) {
       lastReply = reply;
       lastFailure = failure == null ? lastFailure : failure;
       if (reply != null || unsent(failure) || repeatable(call)) {
@@ -273,28 +290,28 @@
     }
 
     private void giveUp(Instant now) {
-      if (asked > 0) {
-        reach.peersFailed(now);
+      if (peersTried > 0) {
+        availability.peersFailed(now);
       }
       end();
     }
 
-    /** Keeps how one way ended, so that whoever called can log all of them in one line. */
-    private void tell(
-        String way, @Nullable HttpReply reply, @Nullable Throwable failure, Instant began) {
+    /** Records the outcome of one attempt, so that the caller can log all attempts in one line. */
+    private void recordAttempt(
+        String route, @Nullable HttpReply reply, @Nullable Throwable failure, Instant began) {
       long millis = Duration.between(began, clock.instant()).toMillis();
       String done = reply != null || unsent(failure) ? "not done" : "perhaps done";
-      attempts.add(way + " in " + millis + " ms, " + done + ": " + cause(reply, failure));
+      attempts.add(route + " in " + millis + " ms, " + done + ": " + cause(reply, failure));
     }
 
     private void end() {
-      String told = String.join("; ", attempts);
+      String summary = String.join("; ", attempts);
       if (lastReply != null) {
-        result.complete(lastReply.withAttempts(told));
+        result.complete(lastReply.withAttempts(summary));
       } else if (attempts.isEmpty()) {
         result.completeExceptionally(lastFailure);
       } else {
-        result.completeExceptionally(new HttpCallException(told, unsent(lastFailure)));
+        result.completeExceptionally(new HttpCallException(summary, unsent(lastFailure)));
       }
     }
   }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/relay/TcpRelayTransport.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/relay/TcpRelayTransport.java
@@ -24,25 +24,28 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Links to peers over TCP; calls share one link a peer, and replies come in any order.
+ * Transport over TCP with one link for each peer. The calls to a peer share its link, and replies
+ * arrive in any order.
  *
- * <p>Failure: a link goes silent for good while new ones work, or its peer is frozen. It shows as a
- * call without an answer. Guard: a link on which a call timed out, and on which nothing came since
- * it was sent, is closed, and the next call opens another. On a link that brings other answers the
- * call is slow, and ends alone.
+ * <p>A link may go silent for good while new links work, or its peer may be frozen. Calls on the
+ * link then get no reply. Therefore a link is closed if a call on it timed out and nothing was
+ * received since that call was sent. The next call opens another link. If the link received other
+ * replies meanwhile, only the slow call fails.
  */
 public final class TcpRelayTransport implements RelayTransport {
 
-  /** Time to open a link; peers accept within some ms, a busy core adds 50. */
+  /** Timeout for opening a link; peers accept within some ms, and a busy core adds 50. */
   private static final int CONNECT_MILLIS = 150;
 
-  /** Added to the time of a call for the way to the peer and back: 6 ms, on a busy core 100. */
-  private static final Duration HOP = Duration.ofMillis(100);
+  /**
+   * Added to the timeout of a call for the way to the peer and back: 6 ms, or 100 on a busy core.
+   */
+  private static final Duration HOP_TIME = Duration.ofMillis(100);
 
   private final EventLoop loop;
   private final Map<InetSocketAddress, Link> links = new HashMap<>();
 
-  /** Creates a transport on an event loop, on which all calls are made. */
+  /** Creates a transport. All calls must be made on the given event loop. */
   public TcpRelayTransport(EventLoop loop) {
     this.loop = loop;
   }
@@ -52,7 +55,7 @@
     return links.computeIfAbsent(peer.address(), Link::new).call(target, call);
   }
 
-  /** A link to one peer. */
+  /** Link to one peer. */
   private final class Link implements RelayChannels.Receiver {
 
     private final InetSocketAddress peer;
@@ -82,41 +85,42 @@
     private CompletionStage<HttpReply> call(RelayTarget target, HttpCall call) {
       lastId++;
       long id = lastId;
-      Duration patience = call.timeout().plus(HOP);
-      Pending asked = new Pending(new CompletableFuture<>());
-      pending.put(id, asked);
-      asked.timer = loop.schedule(() -> timedOut(id), patience.toMillis(), TimeUnit.MILLISECONDS);
+      Duration timeout = call.timeout().plus(HOP_TIME);
+      Pending pendingCall = new Pending(new CompletableFuture<>());
+      pending.put(id, pendingCall);
+      pendingCall.timer =
+          loop.schedule(() -> onTimeout(id), timeout.toMillis(), TimeUnit.MILLISECONDS);
       opened.addListener(
           (ChannelFutureListener)
               connected -> {
                 if (connected.isSuccess()) {
                   write(id, target, call);
                 } else {
-                  leave("no link to " + peer + ": " + connected.cause());
+                  closeLink("no link to " + peer + ": " + connected.cause());
                 }
               });
-      return asked.result;
+      return pendingCall.result;
     }
 
     private void write(long id, RelayTarget target, HttpCall call) {
-      Pending asked = pending.get(id);
-      if (asked == null) {
+      Pending pendingCall = pending.get(id);
+      if (pendingCall == null) {
         return;
       }
-      asked.sent = true;
-      asked.receivedBefore = received;
+      pendingCall.sent = true;
+      pendingCall.receivedBefore = received;
       RelayChannels.send(
           opened.channel(),
           new RelayMessage.Call(
               id, target, call.method(), call.path(), call.headers(), call.body(), call.timeout()));
     }
 
-    private void timedOut(long id) {
-      Pending silent = pending.remove(id);
-      if (silent != null) {
-        silent.fail("no answer from " + peer, !silent.sent);
-        if (!silent.sent || received == silent.receivedBefore) {
-          leave("the link to " + peer + " is silent");
+    private void onTimeout(long id) {
+      Pending timedOut = pending.remove(id);
+      if (timedOut != null) {
+        timedOut.fail("no answer from " + peer, !timedOut.sent);
+        if (!timedOut.sent || received == timedOut.receivedBefore) {
+          closeLink("the link to " + peer + " is silent");
         }
       }
     }
@@ -124,32 +128,32 @@
     @Override
     public void received(Channel channel, RelayMessage message) {
       received++;
-      Pending asked = pending.remove(message.id());
-      if (asked == null) {
+      Pending pendingCall = pending.remove(message.id());
+      if (pendingCall == null) {
         return;
       }
       if (message instanceof RelayMessage.Reply reply) {
-        asked.complete(new HttpReply(reply.status(), reply.headers(), reply.body()));
+        pendingCall.complete(new HttpReply(reply.status(), reply.headers(), reply.body()));
       } else if (message instanceof RelayMessage.Failure failure) {
-        asked.fail(failure.cause(), failure.unsent());
+        pendingCall.fail(failure.cause(), failure.unsent());
       }
     }
 
     @Override
     public void closed(Channel channel, String cause) {
-      leave(cause);
+      closeLink(cause);
     }
 
-    private void leave(String cause) {
+    private void closeLink(String cause) {
       links.remove(peer, this);
-      List<Pending> left = List.copyOf(pending.values());
+      List<Pending> unanswered = List.copyOf(pending.values());
       pending.clear();
-      left.forEach(each -> each.fail(cause, !each.sent));
+      unanswered.forEach(each -> each.fail(cause, !each.sent));
       opened.channel().close();
     }
   }
 
-  /** A call that waits for its reply. */
+  /** A call that has no reply yet. */
   private static final class Pending {
 
     private final CompletableFuture<HttpReply> result;
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/relay/package-info.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/relay/package-info.java
@@ -1,4 +1,4 @@
-/** Calls to the store by way of a peer that reaches it. */
+/** Calls to the store through a peer that can reach it, and calls about jobs that peers answer. */
 @NullMarked
 package io.hawthornlb.gateway.relay;
 
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/relay/CutReadsTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/relay/CutReadsTest.java
@@ -30,44 +30,45 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A fleet whose readers all lose their connections to the store at the same moment.
+ * Tests a fleet whose readers all lose their connections to the store at the same time.
  *
- * <p>For a second and more a configuration in force is not served: requests of new routes get 404,
- * seconds after the operator was told that the change is in force. The store went silent for a
- * second, in which the change was made, then forgot its history and cut all waiting reads. Each
- * instance took its cut read for a store that is away, had its peers read in its place, and refused
- * to read for them. What was to find out that the store answers was a read that waits 2 s.
+ * <p>Guards against a configuration that takes effect more than a second late: requests of new
+ * routes get 404, seconds after the operator was told that the change is in force. The store went
+ * silent for a second, in which the change was made, then lost its history and cut all waiting
+ * reads. Each instance considered the store unavailable because of its cut read. It sent its reads
+ * to peers, and refused to read for them. The probe that could show the store to be available was a
+ * read that waits 2 s.
  */
 class CutReadsTest {
 
-  private static final Duration PROMPT = KeyedFollower.waitWithin(Duration.ofSeconds(2));
+  private static final Duration PROMPT_WAIT = KeyedFollower.waitWithin(Duration.ofSeconds(2));
 
-  /** Instances; as many as a middle-sized site has. */
+  /** Number of instances; a medium-sized site has this many. */
   private static final int INSTANCES = 13;
 
-  /** Time within which a change is to be in force everywhere. */
+  /** Time within which a change must take effect everywhere. */
   private static final Duration IN_FORCE = Duration.ofSeconds(2);
 
-  /** Time from an instance to its peer. */
-  private static final Duration TRIP = Duration.ofMillis(2);
+  /** One-way network delay between an instance and a peer. */
+  private static final Duration ONE_WAY_DELAY = Duration.ofMillis(2);
 
-  private static final String URGENT = "config";
-  private static final String ENDPOINTS = "endpoints";
-  private static final String UNHURRIED = "instances";
+  private static final String CONFIG_TOPIC = "config";
+  private static final String ENDPOINTS_TOPIC = "endpoints";
+  private static final String INSTANCES_TOPIC = "instances";
 
   private final VirtualLoop time = new VirtualLoop();
   private final InMemoryLogStore log = new InMemoryLogStore(time.loop(), 1);
   private final StoreOverCalls store = new StoreOverCalls(log, time.loop());
   private final Map<String, RelayingHttpCaller> callers = new HashMap<>();
-  private final List<Heard> heard = new ArrayList<>();
+  private final List<RecordingListener> listeners = new ArrayList<>();
 
-  /** Keeps the keys that one follower knows. */
-  private static final class Heard implements KeyedFollower.Listener {
+  /** Records the keys that one follower knows. */
+  private static final class RecordingListener implements KeyedFollower.Listener {
 
     private final String topic;
     private final TreeSet<String> keys = new TreeSet<>();
 
-    private Heard(String topic) {
+    private RecordingListener(String topic) {
       this.topic = topic;
     }
 
@@ -90,93 +91,106 @@
   }
 
   @Test
-  void aChangeMadeWhileReadsWereSilentIsInForceInTimeAfterTheCut() {
-    put(URGENT, "v3");
-    put(ENDPOINTS, "left");
+  void aChangeMadeDuringSilentReadsTakesEffectInTimeAfterTheCut() {
+    put(CONFIG_TOPIC, "v3");
+    put(ENDPOINTS_TOPIC, "left");
     startFleet();
     time.advance(Duration.ofMillis(1_700));
 
     log.silence();
     time.advance(Duration.ofMillis(130));
-    put(URGENT, "v5");
-    drop(ENDPOINTS, "left");
-    put(ENDPOINTS, "came");
+    put(CONFIG_TOPIC, "v5");
+    drop(ENDPOINTS_TOPIC, "left");
+    put(ENDPOINTS_TOPIC, "came");
     time.advance(Duration.ofMillis(1_070));
-    log.forgetHistory(URGENT, 0);
-    log.forgetHistory(ENDPOINTS, 0);
+    log.forgetHistory(CONFIG_TOPIC, 0);
+    log.forgetHistory(ENDPOINTS_TOPIC, 0);
     log.cutReads();
     time.advance(IN_FORCE.minusMillis(1_070));
 
-    assertEquals(INSTANCES, knowing(URGENT, "v3", "v5"));
-    assertEquals(INSTANCES, knowing(ENDPOINTS, "came"));
+    assertEquals(INSTANCES, followersThatKnow(CONFIG_TOPIC, "v3", "v5"));
+    assertEquals(INSTANCES, followersThatKnow(ENDPOINTS_TOPIC, "came"));
   }
 
-  /** The same when nothing but connections is lost: what changed is read on from the offset. */
+  /**
+   * Checks that a change takes effect in time when only connections are lost: the follower reads
+   * the change from its offset on.
+   */
   @Test
-  void aChangeMadeWhileReadsWereSilentIsInForceInTimeWhereHistoryStays() {
-    put(URGENT, "v3");
+  void aChangeMadeDuringSilentReadsTakesEffectInTimeIfHistoryStays() {
+    put(CONFIG_TOPIC, "v3");
     startFleet();
     time.advance(Duration.ofMillis(1_700));
     log.silence();
-    put(URGENT, "v5");
+    put(CONFIG_TOPIC, "v5");
     time.advance(Duration.ofMillis(1_200));
     log.cutReads();
     time.advance(IN_FORCE.minusMillis(1_200));
 
-    assertEquals(INSTANCES, knowing(URGENT, "v3", "v5"));
+    assertEquals(INSTANCES, followersThatKnow(CONFIG_TOPIC, "v3", "v5"));
   }
 
-  /** The same after an outage in which no call got an answer, for a change made at its end. */
+  /**
+   * Checks that a change made at the end of an outage, in which no call got a reply, takes effect
+   * in time.
+   */
   @Test
-  void aChangeMadeAtTheEndOfAnOutageIsInForceInTime() {
-    put(URGENT, "v3");
+  void aChangeMadeAtTheEndOfAnOutageTakesEffectInTime() {
+    put(CONFIG_TOPIC, "v3");
     startFleet();
-    store.away(true);
+    store.setUnavailable(true);
     time.advance(Duration.ofMillis(6_300));
-    store.away(false);
-    put(URGENT, "v5");
-    put(ENDPOINTS, "came");
+    store.setUnavailable(false);
+    put(CONFIG_TOPIC, "v5");
+    put(ENDPOINTS_TOPIC, "came");
     time.advance(IN_FORCE);
 
-    assertEquals(INSTANCES, knowing(URGENT, "v3", "v5"));
-    assertEquals(INSTANCES, knowing(ENDPOINTS, "came"));
+    assertEquals(INSTANCES, followersThatKnow(CONFIG_TOPIC, "v3", "v5"));
+    assertEquals(INSTANCES, followersThatKnow(ENDPOINTS_TOPIC, "came"));
   }
 
-  /** The same for a change made some time after an outage, while reads that wait go silent. */
+  /**
+   * Checks that a change made some time after an outage takes effect in time, while waiting reads
+   * are silent.
+   */
   @ParameterizedTest
   @ValueSource(ints = {0, 200, 400, 600, 800, 1_000, 1_200, 1_400, 1_600, 1_800, 2_000})
-  void aChangeMadeAfterAnOutageIsInForceInTimeThoughReadsAreSilent(int millisAfter) {
-    put(URGENT, "v3");
+  void aChangeMadeAfterAnOutageTakesEffectInTimeThoughReadsAreSilent(int millisAfter) {
+    put(CONFIG_TOPIC, "v3");
     startFleet();
     time.advance(Duration.ofMillis(700));
-    store.away(true);
+    store.setUnavailable(true);
     time.advance(Duration.ofMillis(5_300));
-    store.away(false);
+    store.setUnavailable(false);
     time.advance(Duration.ofMillis(millisAfter));
     log.silence();
-    put(URGENT, "v5");
-    put(ENDPOINTS, "came");
+    put(CONFIG_TOPIC, "v5");
+    put(ENDPOINTS_TOPIC, "came");
     time.advance(IN_FORCE);
 
-    assertEquals(INSTANCES, knowing(URGENT, "v3", "v5"));
-    assertEquals(INSTANCES, knowing(ENDPOINTS, "came"));
+    assertEquals(INSTANCES, followersThatKnow(CONFIG_TOPIC, "v3", "v5"));
+    assertEquals(INSTANCES, followersThatKnow(ENDPOINTS_TOPIC, "came"));
   }
 
-  /** Calls are paid for, and bounded a second for all instances together. */
+  /**
+   * Guards against too many calls after a cut: each call costs money, and the calls of all
+   * instances together are limited per second.
+   */
   @Test
   void aCutCostsEachReaderFewCalls() {
     startFleet();
     time.advance(Duration.ofMillis(1_700));
     log.silence();
-    log.forgetHistory(URGENT, 0);
+    log.forgetHistory(CONFIG_TOPIC, 0);
     int before = store.calls();
     log.cutReads();
     time.advance(Duration.ofMillis(500));
 
-    // A read that is cut is made again, finds that its history is gone, loads and reads on.
-    int readers = heard.size() + INSTANCES;
-    int most = 4 * readers;
-    assertTrue(store.calls() - before <= most, (store.calls() - before) + " calls");
+    // Each reader repeats its cut read, finds that its history is gone, loads the list and reads
+    // on.
+    int readers = listeners.size() + INSTANCES;
+    int maxCalls = 4 * readers;
+    assertTrue(store.calls() - before <= maxCalls, (store.calls() - before) + " calls");
   }
 
   private void startFleet() {
@@ -185,19 +199,19 @@
       HttpCaller direct = store.direct();
       RelayingHttpCaller caller =
           new RelayingHttpCaller(
-              direct, this::asPeer, () -> others(name), time, new SilentEventLog());
+              direct, this::callPeer, () -> others(name), time, new SilentEventLog());
       callers.put(name, caller);
-      follow(caller, URGENT, PROMPT);
-      follow(caller, ENDPOINTS, PROMPT);
-      follow(caller, UNHURRIED, KeyedFollower.UNHURRIED);
-      hold(store.through(caller));
+      follow(caller, CONFIG_TOPIC, PROMPT_WAIT);
+      follow(caller, ENDPOINTS_TOPIC, PROMPT_WAIT);
+      follow(caller, INSTANCES_TOPIC, KeyedFollower.UNHURRIED);
+      holdPartition(store.through(caller));
     }
     time.advance(Duration.ofMillis(100));
   }
 
   private void follow(RelayingHttpCaller caller, String topic, Duration wait) {
-    Heard listener = new Heard(topic);
-    heard.add(listener);
+    RecordingListener listener = new RecordingListener(topic);
+    listeners.add(listener);
     KeyedFollower follower =
         new KeyedFollower(
             store.through(caller),
@@ -212,27 +226,36 @@
     follower.start();
   }
 
-  /** Reads on and on as the holder of a partition of jobs does. */
-  private void hold(LogStore jobs) {
+  /** Reads continuously, as the holder of a partition of jobs does. */
+  private void holdPartition(LogStore jobs) {
     jobs.read("jobs", 0, 0, Duration.ofSeconds(2))
         .whenComplete(
             (page, failure) ->
                 time.loop()
-                    .schedule(() -> hold(jobs), failure == null ? 0 : 200, TimeUnit.MILLISECONDS));
+                    .schedule(
+                        () -> holdPartition(jobs),
+                        failure == null ? 0 : 200,
+                        TimeUnit.MILLISECONDS));
   }
 
-  /** Answers as an instance does whom a peer asks: it refuses while it does not reach the store. */
-  private CompletionStage<HttpReply> asPeer(
+  /**
+   * Replies as an instance that a peer calls: refuses the call while the instance cannot reach the
+   * store.
+   */
+  private CompletionStage<HttpReply> callPeer(
       GatewayInstance peer, RelayTarget target, HttpCall call) {
     CompletableFuture<HttpReply> result = new CompletableFuture<>();
-    time.loop().schedule(() -> answer(peer, call, result), TRIP.toMillis(), TimeUnit.MILLISECONDS);
+    time.loop()
+        .schedule(
+            () -> answer(peer, call, result), ONE_WAY_DELAY.toMillis(), TimeUnit.MILLISECONDS);
     return result;
   }
 
   private void answer(GatewayInstance peer, HttpCall call, CompletableFuture<HttpReply> result) {
-    RelayingHttpCaller asked = callers.get(peer.name());
-    if (asked == null || asked.away()) {
-      result.completeExceptionally(new HttpCallException("away too", true));
+    RelayingHttpCaller peerCaller = callers.get(peer.name());
+    if (peerCaller == null || peerCaller.away()) {
+      result.completeExceptionally(
+          new HttpCallException("the peer cannot reach the store either", true));
       return;
     }
     store
@@ -260,8 +283,8 @@
     return new GatewayInstance(name, name + "~1", new InetSocketAddress("127.0.0.1", 1), "a");
   }
 
-  private long knowing(String topic, String... keys) {
-    return heard.stream()
+  private long followersThatKnow(String topic, String... keys) {
+    return listeners.stream()
         .filter(each -> each.topic.equals(topic) && each.keys.equals(new TreeSet<>(List.of(keys))))
         .count();
   }
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/relay/ForeignFramePropertyTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/relay/ForeignFramePropertyTest.java
@@ -13,8 +13,8 @@
 import net.jqwik.api.Property;
 
 /**
- * A gateway runs out of memory: a stranger connected to the port of its peers and sent twenty
- * bytes, five of which claimed a body of 2 GB.
+ * Guards against a gateway that runs out of memory. A stranger connected to the port for its peers
+ * and sent twenty bytes, five of which claimed a body of 2 GB.
  */
 class ForeignFramePropertyTest {
 
@@ -29,13 +29,13 @@
               new byte[] {1, 2, 3},
               Duration.ofMillis(900)),
           new RelayMessage.Reply(7, 412, Map.of("Type", "t"), new byte[] {1, 2, 3}),
-          new RelayMessage.Failure(8, true, "away"));
+          new RelayMessage.Failure(8, true, "unavailable"));
 
   @Property(tries = 3_000, seed = ForeignBytes.SEED)
-  void aFrameIsAMessageOrUnreadable(@ForAll long seed) {
+  void aFrameDecodesToAValidMessageOrIsUnreadable(@ForAll long seed) {
     Random random = new Random(seed);
-    byte[] good = RelayCodec.encode(MESSAGES.get(random.nextInt(MESSAGES.size())));
-    byte[] bytes = ForeignBytes.of(good, random);
+    byte[] valid = RelayCodec.encode(MESSAGES.get(random.nextInt(MESSAGES.size())));
+    byte[] bytes = ForeignBytes.of(valid, random);
     ForeignBytes.read(bytes.length, () -> RelayCodec.decode(bytes))
         .ifPresent(ForeignFramePropertyTest::check);
   }
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/relay/RelayCodecTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/relay/RelayCodecTest.java
@@ -17,7 +17,7 @@
   private static final byte[] BODY = {1, 2, 3};
 
   @Test
-  void readsCallsThatItWrote() {
+  void decodesEncodedCalls() {
     RelayMessage.Call call =
         new RelayMessage.Call(
             7,
@@ -27,33 +27,33 @@
             Map.of("Type", "t"),
             BODY,
             Duration.ofMillis(900));
-    RelayMessage.Call read =
+    RelayMessage.Call decoded =
         assertInstanceOf(RelayMessage.Call.class, RelayCodec.decode(RelayCodec.encode(call)));
-    assertEquals(call.id(), read.id());
-    assertEquals(call.target(), read.target());
-    assertEquals(call.method(), read.method());
-    assertEquals(call.path(), read.path());
-    assertEquals(call.headers(), read.headers());
-    assertEquals(call.timeout(), read.timeout());
-    assertArrayEquals(BODY, read.body());
+    assertEquals(call.id(), decoded.id());
+    assertEquals(call.target(), decoded.target());
+    assertEquals(call.method(), decoded.method());
+    assertEquals(call.path(), decoded.path());
+    assertEquals(call.headers(), decoded.headers());
+    assertEquals(call.timeout(), decoded.timeout());
+    assertArrayEquals(BODY, decoded.body());
   }
 
   @Test
-  void readsRepliesThatItWrote() {
+  void decodesEncodedReplies() {
     RelayMessage.Reply reply = new RelayMessage.Reply(7, 412, Map.of("Type", "t"), BODY);
-    RelayMessage.Reply read =
+    RelayMessage.Reply decoded =
         assertInstanceOf(RelayMessage.Reply.class, RelayCodec.decode(RelayCodec.encode(reply)));
-    assertEquals(reply.id(), read.id());
-    assertEquals(reply.status(), read.status());
-    assertEquals(reply.headers(), read.headers());
-    assertArrayEquals(BODY, read.body());
-    RelayMessage.Failure failure = new RelayMessage.Failure(8, true, "away");
+    assertEquals(reply.id(), decoded.id());
+    assertEquals(reply.status(), decoded.status());
+    assertEquals(reply.headers(), decoded.headers());
+    assertArrayEquals(BODY, decoded.body());
+    RelayMessage.Failure failure = new RelayMessage.Failure(8, true, "unavailable");
     assertEquals(failure, RelayCodec.decode(RelayCodec.encode(failure)));
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"", "GET / HTTP/1.1", "\u0001\u0002"})
-  void refusesForeignFrames(String text) {
+  void rejectsInvalidFrames(String text) {
     byte[] bytes = text.getBytes();
     assertThrows(UnreadableException.class, () -> RelayCodec.decode(bytes));
   }
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/relay/RelayingHttpCallerTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/relay/RelayingHttpCallerTest.java
@@ -24,261 +24,286 @@
 
 class RelayingHttpCallerTest {
 
-  private static final HttpReply DONE = new HttpReply(200, new byte[0]);
-  private static final HttpReply BUSY = new HttpReply(503, new byte[0]);
+  private static final HttpReply SUCCESS = new HttpReply(200, new byte[0]);
+  private static final HttpReply REFUSED = new HttpReply(503, new byte[0]);
 
   private final VirtualLoop time = new VirtualLoop();
-  private final List<String> ways = new ArrayList<>();
-  private Supplier<CompletionStage<HttpReply>> store = () -> replied(DONE);
-  private Supplier<CompletionStage<HttpReply>> byPeer = () -> replied(DONE);
+  private final List<String> routes = new ArrayList<>();
+  private Supplier<CompletionStage<HttpReply>> store = () -> replied(SUCCESS);
+  private Supplier<CompletionStage<HttpReply>> byPeer = () -> replied(SUCCESS);
   private final RelayingHttpCaller caller =
       new RelayingHttpCaller(
-          call -> way("direct", store),
-          (peer, target, call) -> way(peer.name(), byPeer),
+          call -> attempt("direct", store),
+          (peer, target, call) -> attempt(peer.name(), byPeer),
           () -> List.of(peer("a1"), peer("a2"), peer("a3")),
           time,
           new SilentEventLog());
 
   /**
-   * A caller's job is refused at a third of the gateways for seconds. The store turned these
-   * gateways away, and none of them asked another one.
+   * Guards against jobs that are refused at a third of the gateways for seconds. The store refused
+   * these gateways, and none of them called a peer.
    */
   @Test
-  void hasAPeerMakeACallThatTheStoreRefused() {
-    store = () -> replied(BUSY);
+  void passesARefusedCallToAPeer() {
+    store = () -> replied(REFUSED);
     assertEquals(200, status(caller.call(append())));
-    assertEquals(List.of("direct", "a1"), ways);
+    assertEquals(List.of("direct", "a1"), routes);
   }
 
-  /** A job is taken late: each call waits for a store that is silent before it goes to a peer. */
+  /**
+   * Guards against jobs that are accepted late, because each call waits for a silent store before
+   * it goes to a peer.
+   */
   @Test
-  void asksPeersFirstOnceTheStoreDidNotAnswer() {
-    store = () -> replied(BUSY);
+  void triesPeersFirstWhileTheStoreIsUnavailable() {
+    store = () -> replied(REFUSED);
     caller.call(append());
-    ways.clear();
+    routes.clear();
     caller.call(append());
-    assertEquals(List.of("a1"), ways);
+    assertEquals(List.of("a1"), routes);
     assertTrue(caller.away());
   }
 
   /**
-   * A job is written twice, once of them seconds later. The store carried an append out late whose
-   * answer was lost, and a peer had been asked to make it again.
+   * Guards against a job that is written twice, the second time seconds later. The store carried
+   * out an append late whose reply was lost, and a peer had been asked to repeat the append.
    */
   @Test
-  void repeatsNoAppendThatMayHaveHappened() {
+  void doesNotRepeatAnAppendThatMayHaveBeenCarriedOut() {
     store = () -> failed(false);
     CompletionStage<HttpReply> result = caller.call(append());
     assertTrue(result.toCompletableFuture().isCompletedExceptionally());
-    assertEquals(List.of("direct"), ways);
+    assertEquals(List.of("direct"), routes);
   }
 
   @Test
-  void repeatsAReadThatGotNoAnswer() {
+  void repeatsAReadThatGotNoReply() {
     store = () -> failed(false);
     assertEquals(200, status(caller.call(read())));
-    assertEquals(List.of("direct", "a1"), ways);
+    assertEquals(List.of("direct", "a1"), routes);
   }
 
   /**
-   * A change is in force seconds late on most gateways. The store cut all waiting reads at once and
-   * answered new ones; each gateway took that for a store that is away, and all refused each other.
+   * Guards against a change that takes effect seconds late on most gateways. The store cut all
+   * waiting reads at the same time and still answered new ones. Each gateway considered the store
+   * unavailable, and all refused one another's calls.
    */
   @Test
-  void callsTheStoreAgainAfterACutRead() {
-    store = () -> ways.size() == 1 ? cut() : replied(DONE);
+  void repeatsACutReadAtTheStore() {
+    store = () -> routes.size() == 1 ? cut() : replied(SUCCESS);
     assertEquals(200, status(caller.call(read())));
-    assertEquals(List.of("direct", "direct"), ways);
+    assertEquals(List.of("direct", "direct"), routes);
     assertFalse(caller.away());
   }
 
   @Test
-  void asksAPeerIfTheStoreCutsTheRepeatedReadToo() {
+  void triesAPeerIfTheStoreCutsTheRepeatedReadToo() {
     store = RelayingHttpCallerTest::cut;
     assertEquals(200, status(caller.call(read())));
-    assertEquals(List.of("direct", "direct", "a1"), ways);
+    assertEquals(List.of("direct", "direct", "a1"), routes);
     assertTrue(caller.away());
   }
 
-  /** An append whose connection closed may have happened, also on the second try. */
+  /**
+   * Guards against repeating an append whose connection closed; the append may have been carried
+   * out, also at the second attempt.
+   */
   @Test
-  void repeatsNoAppendThatWasCut() {
+  void doesNotRepeatAnAppendThatWasCut() {
     store = RelayingHttpCallerTest::cut;
     assertTrue(caller.call(append()).toCompletableFuture().isCompletedExceptionally());
-    assertEquals(List.of("direct"), ways);
+    assertEquals(List.of("direct"), routes);
   }
 
   /**
-   * A change is seen late after an outage: the read that found out that the store answers again had
-   * its reply thrown away, and whoever waited for it waited for the next one.
+   * Guards against a change that is noticed late after an outage. The reply of the read that found
+   * the store available was discarded, and its caller had to wait for the next read.
    */
   @Test
-  void hasTheReplyOfACallThatFindsTheStoreAnswering() {
-    store = () -> replied(BUSY);
+  void usesTheReplyOfASuccessfulProbe() {
+    store = () -> replied(REFUSED);
     byPeer = () -> failed(true);
     caller.call(read());
-    store = () -> replied(DONE);
-    ways.clear();
-    time.advance(StoreReach.FIRST_PROBE);
+    store = () -> replied(SUCCESS);
+    routes.clear();
+    time.advance(StoreAvailability.MIN_PROBE_INTERVAL);
     assertEquals(200, status(caller.call(read())));
-    assertEquals(List.of("direct"), ways);
+    assertEquals(List.of("direct"), routes);
   }
 
   /**
-   * The same, seconds later still: what was to find out that the store answers was a read that
-   * waits for new records, and calls that are answered at once were not made meanwhile.
+   * Guards against a change that is noticed seconds late after an outage. The probe was a read that
+   * waited for new records, and meanwhile no call was probed that is answered immediately.
    */
   @Test
-  void findsTheStoreAnsweringWhileAReadWaits() {
-    store = () -> replied(BUSY);
+  void findsTheStoreAvailableWhileAReadWaits() {
+    store = () -> replied(REFUSED);
     byPeer = () -> failed(true);
     caller.call(read());
-    time.advance(StoreReach.FIRST_PROBE);
+    time.advance(StoreAvailability.MIN_PROBE_INTERVAL);
     store = CompletableFuture::new;
     caller.call(waitingRead());
-    store = () -> replied(DONE);
-    ways.clear();
+    store = () -> replied(SUCCESS);
+    routes.clear();
     assertEquals(200, status(caller.call(read())));
-    assertEquals(List.of("direct"), ways);
+    assertEquals(List.of("direct"), routes);
     assertFalse(caller.away());
   }
 
   /**
-   * All calls go to peers that refuse, though the store is back: a call of the outage failed late.
+   * Guards against sending all calls to peers that refuse them although the store is back, because
+   * a call made during the outage failed late.
    */
   @Test
-  void staysWithAStoreThatAnsweredAfterTheCallThatFails() {
+  void ignoresALateFailureOfACallFromAnOutage() {
     CompletableFuture<HttpReply> silent = new CompletableFuture<>();
     store = () -> silent;
-    CompletionStage<HttpReply> early = caller.call(read());
-    store = () -> replied(DONE);
+    CompletionStage<HttpReply> earlier = caller.call(read());
+    store = () -> replied(SUCCESS);
     caller.call(read());
     silent.completeExceptionally(new HttpCallException("No reply in time", false));
-    assertEquals(200, status(early));
+    assertEquals(200, status(earlier));
     assertFalse(caller.away());
-    ways.clear();
+    routes.clear();
     caller.call(read());
-    assertEquals(List.of("direct"), ways);
+    assertEquals(List.of("direct"), routes);
   }
 
-  /** The same where the call of the outage is the one that was to find the store answering. */
+  /**
+   * Guards against sending all calls to peers that refuse them although the store is back, because
+   * a probe made during the outage failed late.
+   */
   @Test
-  void staysWithAStoreThatAnsweredAfterTheProbeThatFails() {
+  void ignoresALateFailureOfAProbeFromAnOutage() {
     CompletableFuture<HttpReply> silent = new CompletableFuture<>();
-    store = () -> replied(BUSY);
+    store = () -> replied(REFUSED);
     caller.call(read());
-    time.advance(StoreReach.FIRST_PROBE);
+    time.advance(StoreAvailability.MIN_PROBE_INTERVAL);
     store = () -> silent;
     caller.call(read());
-    time.advance(StoreReach.MAX_PROBE);
-    store = () -> replied(DONE);
+    time.advance(StoreAvailability.MAX_PROBE_INTERVAL);
+    store = () -> replied(SUCCESS);
     caller.call(read());
     assertFalse(caller.away());
     silent.completeExceptionally(new HttpCallException("No reply in time", false));
     assertFalse(caller.away());
   }
 
-  /** A store that has answered just before and refuses now is called on and on. */
+  /**
+   * Guards against calling a store again and again that has just replied to one call and now
+   * refuses another.
+   */
   @Test
-  void takesARefusalForWhatHoldsNow() {
+  void considersTheStoreUnavailableAfterARefusal() {
     CompletableFuture<HttpReply> waiting = new CompletableFuture<>();
     store = () -> waiting;
     caller.call(waitingRead());
-    store = () -> replied(DONE);
+    store = () -> replied(SUCCESS);
     caller.call(read());
-    waiting.complete(BUSY);
+    waiting.complete(REFUSED);
     assertTrue(caller.away());
   }
 
   /**
-   * A gateway asks its peers for good after one outage, which costs each call a hop: nothing found
-   * out that the store answers again.
+   * Guards against a gateway that calls its peers forever after one outage, which costs each call a
+   * hop, because no call probed whether the store is available again.
    */
   @Test
-  void returnsToTheStoreOnceItAnswers() {
-    store = () -> replied(BUSY);
+  void returnsToTheStoreOnceItIsAvailable() {
+    store = () -> replied(REFUSED);
     caller.call(read());
-    store = () -> replied(DONE);
-    time.advance(StoreReach.FIRST_PROBE);
+    store = () -> replied(SUCCESS);
+    time.advance(StoreAvailability.MIN_PROBE_INTERVAL);
     caller.call(read());
     assertFalse(caller.away());
-    ways.clear();
+    routes.clear();
     caller.call(read());
-    assertEquals(List.of("direct"), ways);
+    assertEquals(List.of("direct"), routes);
   }
 
-  /** Followers pause on after an outage whose end another call of their process has found. */
+  /**
+   * Guards against followers that stay in a pause after an outage, although another call of their
+   * process has found the store available.
+   */
   @Test
-  void tellsOnceThatTheStoreAnswersAgain() {
-    caller.onRegained(() -> ways.add("told"));
+  void notifiesListenersOnceWhenTheStoreIsAvailableAgain() {
+    caller.onRegained(() -> routes.add("notified"));
     caller.call(read());
-    store = () -> replied(BUSY);
+    store = () -> replied(REFUSED);
     caller.call(read());
-    store = () -> replied(DONE);
-    time.advance(StoreReach.FIRST_PROBE);
-    ways.clear();
+    store = () -> replied(SUCCESS);
+    time.advance(StoreAvailability.MIN_PROBE_INTERVAL);
+    routes.clear();
     caller.call(read());
     caller.call(read());
-    assertEquals(List.of("direct", "told", "direct"), ways);
+    assertEquals(List.of("direct", "notified", "direct"), routes);
   }
 
   /**
-   * While the store is away for all, gateways drown each other in calls that none of them can make.
+   * Guards against gateways that flood one another with calls that none of them can make while the
+   * store is unavailable to all.
    */
   @Test
-  void asksNoPeerForAWhileAfterNoneCouldHelp() {
-    store = () -> replied(BUSY);
+  void pausesCallsToPeersAfterNoneCouldHelp() {
+    store = () -> replied(REFUSED);
     byPeer = () -> failed(true);
     caller.call(append());
-    assertEquals(List.of("direct", "a1", "a2"), ways);
-    ways.clear();
+    assertEquals(List.of("direct", "a1", "a2"), routes);
+    routes.clear();
     assertTrue(caller.call(append()).toCompletableFuture().isCompletedExceptionally());
-    assertEquals(List.of(), ways);
-    time.advance(StoreReach.PEERS_PAUSE);
+    assertEquals(List.of(), routes);
+    time.advance(StoreAvailability.PEERS_PAUSE);
     caller.call(append());
-    assertEquals(List.of("a1", "a2"), ways);
+    assertEquals(List.of("a1", "a2"), routes);
   }
 
   @Test
-  void staysWithThePeerThatHelped() {
-    store = () -> replied(BUSY);
-    byPeer = () -> replied(ways.get(ways.size() - 1).equals("a2") ? DONE : BUSY);
+  void prefersThePeerThatSucceededLast() {
+    store = () -> replied(REFUSED);
+    byPeer = () -> replied(routes.get(routes.size() - 1).equals("a2") ? SUCCESS : REFUSED);
     caller.call(append());
-    ways.clear();
+    routes.clear();
     caller.call(append());
-    assertEquals(List.of("a2"), ways);
+    assertEquals(List.of("a2"), routes);
   }
 
-  /** What is said of a call follows the last way that it took: a reply of 503 says "not done". */
+  /**
+   * Guards against reporting the outcome of an earlier attempt in place of the last: a reply of 503
+   * would say "not done".
+   */
   @Test
-  void tellsHowTheLastWayEnded() {
-    store = () -> replied(BUSY);
+  void endsWithTheOutcomeOfTheLastAttempt() {
+    store = () -> replied(REFUSED);
     byPeer = () -> failed(false);
     assertTrue(caller.call(append()).toCompletableFuture().isCompletedExceptionally());
-    assertEquals(List.of("direct", "a1"), ways);
+    assertEquals(List.of("direct", "a1"), routes);
   }
 
-  /** A job that was refused ran, and no line told by which ways it had been written. */
+  /**
+   * Guards against an outcome that cannot be explained: a refused job ran, and no log line named
+   * the attempts by which it had been written.
+   */
   @Test
-  void tellsEachWayOfACallThatFailed() {
-    store = () -> replied(BUSY);
+  void reportsEachAttemptOfAFailedCall() {
+    store = () -> replied(REFUSED);
     byPeer = () -> failed(false);
     CompletionStage<HttpReply> result = caller.call(append());
     Throwable failure =
         assertThrows(CompletionException.class, () -> result.toCompletableFuture().join());
     assertEquals(
-        "direct in 0 ms, not done: status 503; a1 in 0 ms, perhaps done: as told",
+        "direct in 0 ms, not done: status 503; a1 in 0 ms, perhaps done: failed by the test",
         failure.getCause().getMessage());
-    byPeer = () -> replied(BUSY);
-    time.advance(StoreReach.PEERS_PAUSE);
+    byPeer = () -> replied(REFUSED);
+    time.advance(StoreAvailability.PEERS_PAUSE);
     assertEquals(
         "a1 in 0 ms, not done: status 503; a2 in 0 ms, not done: status 503",
         caller.call(append()).toCompletableFuture().join().attempts());
   }
 
-  private CompletionStage<HttpReply> way(String name, Supplier<CompletionStage<HttpReply>> how) {
-    ways.add(name);
-    return how.get();
+  private CompletionStage<HttpReply> attempt(
+      String name, Supplier<CompletionStage<HttpReply>> result) {
+    routes.add(name);
+    return result.get();
   }
 
   private static CompletionStage<HttpReply> replied(HttpReply reply) {
@@ -286,11 +311,11 @@
   }
 
   private static CompletionStage<HttpReply> failed(boolean unsent) {
-    return CompletableFuture.failedFuture(new HttpCallException("as told", unsent));
+    return CompletableFuture.failedFuture(new HttpCallException("failed by the test", unsent));
   }
 
   private static CompletionStage<HttpReply> cut() {
-    return CompletableFuture.failedFuture(HttpCallException.connectionClosed("as told"));
+    return CompletableFuture.failedFuture(HttpCallException.connectionClosed("failed by the test"));
   }
 
   private static int status(CompletionStage<HttpReply> result) {
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/relay/StoreOverCalls.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/relay/StoreOverCalls.java
@@ -20,25 +20,26 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One log in memory that is reached by calls, as a platform's is, so that a test has the callers
- * between a reader and the log.
+ * In-memory log that is reached by HTTP calls, as a platform's log is, so that a test can place
+ * callers between a reader and the log.
  *
- * <p>A reply names the answer by its number; whoever asked takes it out of the list.
+ * <p>The body of a reply contains the number of the result. The client takes the result out of a
+ * list.
  */
 final class StoreOverCalls {
 
-  /** Time beyond its wait after which a caller gives a call up. */
-  private static final Duration CALL_TIME = Duration.ofMillis(900);
+  /** Timeout of a call in addition to its wait. */
+  private static final Duration CALL_TIMEOUT = Duration.ofMillis(900);
 
-  /** Time from a call to the log and back. */
-  private static final Duration TRIP = Duration.ofMillis(4);
+  /** Network delay of a call to the log and its reply. */
+  private static final Duration ROUND_TRIP = Duration.ofMillis(4);
 
   private static final InetSocketAddress ADDRESS = new InetSocketAddress("127.0.0.1", 1);
 
   private final InMemoryLogStore log;
   private final EventLoop loop;
-  private final List<Object> answers = new ArrayList<>();
-  private boolean away;
+  private final List<Object> results = new ArrayList<>();
+  private boolean unavailable;
   private int calls;
 
   StoreOverCalls(InMemoryLogStore log, EventLoop loop) {
@@ -46,9 +47,9 @@
     this.loop = loop;
   }
 
-  /** Sets whether calls that come from now on get no answer. */
-  void away(boolean silent) {
-    away = silent;
+  /** Sets whether calls that arrive from now on get no reply. */
+  void setUnavailable(boolean noReplies) {
+    unavailable = noReplies;
   }
 
   /** Returns the number of calls that reached the log. */
@@ -56,12 +57,12 @@
     return calls;
   }
 
-  /** Returns a caller that reaches the log itself. */
+  /** Returns a caller that calls the log directly. */
   HttpCaller direct() {
     return this::answer;
   }
 
-  /** Returns the log as it looks through a caller. */
+  /** Returns a log store that reaches the log through a caller. */
   LogStore through(HttpCaller caller) {
     return new Client(caller);
   }
@@ -73,7 +74,7 @@
         () -> result.completeExceptionally(new HttpCallException("No reply in time", false)),
         call.timeout().toMillis(),
         TimeUnit.MILLISECONDS);
-    if (away) {
+    if (unavailable) {
       return result;
     }
     String[] words = call.path().split("/");
@@ -86,20 +87,20 @@
             loop.schedule(
                 () -> {
                   if (failure == null) {
-                    answers.add(page);
-                    String number = String.valueOf(answers.size() - 1);
+                    results.add(page);
+                    String number = String.valueOf(results.size() - 1);
                     result.complete(new HttpReply(200, number.getBytes(StandardCharsets.UTF_8)));
                   } else {
                     result.completeExceptionally(
                         HttpCallException.connectionClosed("The connection closed"));
                   }
                 },
-                TRIP.toMillis(),
+                ROUND_TRIP.toMillis(),
                 TimeUnit.MILLISECONDS));
     return result;
   }
 
-  /** The log as a reader sees it. */
+  /** Client of the log, for readers only. */
   private final class Client implements LogStore {
 
     private final HttpCaller caller;
@@ -120,12 +121,12 @@
 
     private CompletionStage<Object> call(String path, Duration wait) {
       HttpCall call =
-          new HttpCall(ADDRESS, "GET", path, Map.of(), new byte[0], wait.plus(CALL_TIME));
+          new HttpCall(ADDRESS, "GET", path, Map.of(), new byte[0], wait.plus(CALL_TIMEOUT));
       return caller
           .call(call)
           .thenApply(
               reply ->
-                  answers.get(Integer.parseInt(new String(reply.body(), StandardCharsets.UTF_8))))
+                  results.get(Integer.parseInt(new String(reply.body(), StandardCharsets.UTF_8))))
           .exceptionally(
               failure -> {
                 throw new StoreException(StoreException.Kind.UNKNOWN, failure.getMessage());
@@ -134,22 +135,22 @@
 
     @Override
     public CompletionStage<Appended> append(AppendCall call) {
-      throw new UnsupportedOperationException("readers only");
+      throw new UnsupportedOperationException("not supported; this client only reads");
     }
 
     @Override
     public CompletionStage<GroupShare> join(GroupJoin join) {
-      throw new UnsupportedOperationException("readers only");
+      throw new UnsupportedOperationException("not supported; this client only reads");
     }
 
     @Override
     public CompletionStage<Void> leave(String group, String member) {
-      throw new UnsupportedOperationException("readers only");
+      throw new UnsupportedOperationException("not supported; this client only reads");
     }
 
     @Override
     public CompletionStage<Map<Integer, String>> owners(String group, String topic) {
-      throw new UnsupportedOperationException("readers only");
+      throw new UnsupportedOperationException("not supported; this client only reads");
     }
   }
 }
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/relay/TcpRelayTransportTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/relay/TcpRelayTransportTest.java
@@ -37,7 +37,7 @@
       (EventLoop) new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
   private final TcpRelayTransport transport = new TcpRelayTransport(loop);
   private final InetSocketAddress store = new InetSocketAddress("127.0.0.1", 4_711);
-  private final List<HttpCall> made = new ArrayList<>();
+  private final List<HttpCall> storeCalls = new ArrayList<>();
 
   @AfterEach
   void end() {
@@ -45,11 +45,11 @@
   }
 
   @Test
-  void bringsCallsToThePeersStoreAndRepliesBack() throws IOException {
+  void passesCallsToThePeersStoreAndRepliesBack() throws IOException {
     GatewayInstance peer =
         serve(
             call -> {
-              made.add(call);
+              storeCalls.add(call);
               byte[] body = ("re: " + new String(call.body())).getBytes();
               return CompletableFuture.completedFuture(new HttpReply(200, body));
             },
@@ -58,52 +58,58 @@
     HttpReply second = call(peer, "two", Duration.ofSeconds(2)).join();
     assertEquals("re: one", new String(first.body()));
     assertEquals("re: two", new String(second.body()));
-    assertEquals(store, made.get(0).address());
-    assertEquals("/path?query", made.get(0).path());
-    assertEquals(Map.of("Type", "t"), made.get(0).headers());
-    assertArrayEquals("one".getBytes(), made.get(0).body());
+    assertEquals(store, storeCalls.get(0).address());
+    assertEquals("/path?query", storeCalls.get(0).path());
+    assertEquals(Map.of("Type", "t"), storeCalls.get(0).headers());
+    assertArrayEquals("one".getBytes(), storeCalls.get(0).body());
   }
 
   @Test
-  void passesOnWhetherACallMayHaveHappened() throws IOException {
-    GatewayInstance unsure =
+  void reportsWhetherACallMayHaveBeenCarriedOut() throws IOException {
+    GatewayInstance unknownOutcome =
         serve(call -> CompletableFuture.failedFuture(new HttpCallException("late", false)), false);
-    assertFalse(failure(unsure, Duration.ofSeconds(2)).unsent());
-    GatewayInstance sure =
-        serve(call -> CompletableFuture.failedFuture(new HttpCallException("away", true)), false);
-    assertTrue(failure(sure, Duration.ofSeconds(2)).unsent());
+    assertFalse(failure(unknownOutcome, Duration.ofSeconds(2)).unsent());
+    GatewayInstance unsent =
+        serve(
+            call -> CompletableFuture.failedFuture(new HttpCallException("unavailable", true)),
+            false);
+    assertTrue(failure(unsent, Duration.ofSeconds(2)).unsent());
   }
 
-  /** A holder that does not reach the store answers from the jobs that it has read. */
+  /** Checks that a holder that cannot reach the store replies from the jobs that it has read. */
   @Test
-  void answersCallsAboutJobsWhileItDoesNotReachTheStore() throws IOException {
+  void answersCallsAboutJobsWhileTheStoreIsUnavailable() throws IOException {
     GatewayInstance holder =
-        serve(call -> CompletableFuture.failedFuture(new IllegalStateException("called")), true);
+        serve(
+            call ->
+                CompletableFuture.failedFuture(
+                    new IllegalStateException("unexpected call to the store")),
+            true);
     HttpReply reply = call(holder, RelayTarget.JOBS, "job", Duration.ofSeconds(2)).join();
     assertEquals("job", new String(reply.body()));
     assertEquals(Map.of("Retry-After", "0.40"), reply.headers());
   }
 
   /**
-   * All calls of an instance to a holder fail at once although it answers: one of them took too
-   * long, and the link was given up as silent with all that waited on it.
+   * Guards against failing all calls of an instance to a holder that does reply. One call had taken
+   * too long, and the link was closed as silent with all calls on it.
    */
   @Test
   void keepsALinkOnWhichOneCallIsSlow() throws IOException {
-    List<CompletableFuture<HttpReply>> answers = new ArrayList<>();
+    List<CompletableFuture<HttpReply>> replies = new ArrayList<>();
     GatewayInstance peer =
         serve(
             call -> {
-              CompletableFuture<HttpReply> answer = new CompletableFuture<>();
-              answers.add(answer);
+              CompletableFuture<HttpReply> reply = new CompletableFuture<>();
+              replies.add(reply);
               if (!new String(call.body()).equals("slow")) {
                 long delay = new String(call.body()).equals("later") ? 500 : 0;
                 loop.schedule(
-                    () -> answer.complete(new HttpReply(200, call.body())),
+                    () -> reply.complete(new HttpReply(200, call.body())),
                     delay,
                     TimeUnit.MILLISECONDS);
               }
-              return answer;
+              return reply;
             },
             false);
     call(peer, "first", Duration.ofSeconds(2)).join();
@@ -114,20 +120,27 @@
     assertEquals("later", new String(later.join().body()));
   }
 
-  /** Two gateways that do not reach the store hand a call to each other again and again. */
+  /**
+   * Guards against two gateways that cannot reach the store and pass a call to each other again and
+   * again.
+   */
   @Test
-  void refusesCallsWhileItDoesNotReachTheStoreItself() throws IOException {
+  void refusesStoreCallsWhileTheStoreIsUnavailable() throws IOException {
     GatewayInstance peer =
-        serve(call -> CompletableFuture.failedFuture(new IllegalStateException("called")), true);
+        serve(
+            call ->
+                CompletableFuture.failedFuture(
+                    new IllegalStateException("unexpected call to the store")),
+            true);
     assertTrue(failure(peer, Duration.ofSeconds(2)).unsent());
   }
 
   /**
-   * A job is taken a second late and then refused: its gateway waits for a peer that was frozen,
-   * over a link that stays open.
+   * Guards against a job that is accepted a second late or refused, because its gateway waits for a
+   * frozen peer over a link that stays open.
    */
   @Test
-  void endsACallToASilentPeerInTimeAndOpensAnotherLink() throws IOException {
+  void failsACallToASilentPeerInTimeAndOpensAnotherLink() throws IOException {
     try (ServerSocket frozen = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
       GatewayInstance peer = instance(frozen.getLocalPort());
       assertFalse(failure(peer, Duration.ofMillis(50)).unsent());
@@ -139,13 +152,13 @@
   }
 
   @Test
-  void saysThatNothingWasSentWhenThePeerIsGone() throws IOException {
+  void reportsThatACallWasNotSentWhenThePeerIsGone() throws IOException {
     assertTrue(failure(instance(freePort()), Duration.ofSeconds(2)).unsent());
   }
 
-  private GatewayInstance serve(HttpCaller caller, boolean away) throws IOException {
+  private GatewayInstance serve(HttpCaller caller, boolean unavailable) throws IOException {
     int port = freePort();
-    new RelayServer(caller, () -> store, () -> away, new SilentEventLog())
+    new RelayServer(caller, () -> store, () -> unavailable, new SilentEventLog())
         .bind(
             loop,
             new InetSocketAddress("127.0.0.1", port),
