--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/JobHolders.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/JobHolders.java
@@ -24,7 +24,7 @@
   }
 
   /** Records a holder's own notice; ignored if a notice with a higher epoch is known. */
-  void record(int partition, String name, long epoch) {
+  void putUnlessOlder(int partition, String name, long epoch) {
     Holder known = holders.get(partition);
     if (known == null || known.epoch() <= epoch) {
       holders.put(partition, new Holder(name, epoch));
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/JobRequestRouter.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/JobRequestRouter.java
@@ -51,7 +51,8 @@
   private static final Duration REPLY_TIMEOUT = Duration.ofMillis(1_000);
 
   /**
-   * The same for a request to end a job, which the holder may have to append in several attempts.
+   * Time allowed for the reply to a request to end a job, which the holder may have to append in
+   * several attempts.
    */
   private static final Duration END_REPLY_TIMEOUT = Duration.ofMillis(3_300);
 
@@ -111,7 +112,7 @@
 
   /** Records that a process holds a partition under an epoch. */
   void onHeld(String name, int partition, long epoch) {
-    holders.record(partition, name, epoch);
+    holders.putUnlessOlder(partition, name, epoch);
   }
 
   @Override
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/JobRunners.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/JobRunners.java
@@ -39,8 +39,7 @@
   private static final long EPOCH_STEP = 1_000;
 
   /**
-   * Rank of a process that does not know the fleet so far, so that it takes no partition from
-   * others.
+   * Rank of a process that does not know the fleet yet, so that it takes no partition from others.
    */
   private static final int UNKNOWN_RANK = Integer.MAX_VALUE;
 
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/PartitionRunner.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/PartitionRunner.java
@@ -39,8 +39,9 @@
   private static final Duration READ_WAIT = Duration.ofSeconds(2);
 
   /**
-   * The same while callers wait; they wait a second at most. Each caller is answered after a read
-   * that began later than its call, so two reads a second serve all of them.
+   * Longest time for which a read waits for new records while callers wait for results; they wait a
+   * second at most. Each caller is answered after a read that began later than its call, so two
+   * reads a second serve all of them.
    */
   private static final Duration AWAITED_READ_WAIT = Duration.ofMillis(450);
 
@@ -367,7 +368,7 @@
     stop();
   }
 
-  /** Returns offers of the results, and the failure counts, that may not be in the log so far. */
+  /** Returns offers of the results, and the failure counts, that may not be in the log yet. */
   private List<KeyedRecord> unwrittenRecords() {
     List<KeyedRecord> records = new ArrayList<>(waitingRecords);
     for (Finished each : inFlight) {
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/store/KeyedFollower.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/store/KeyedFollower.java
@@ -47,7 +47,10 @@
   /** Time within which a reply is expected; a slow store takes up to 240 ms. */
   private static final Duration EXPECTED_REPLY_TIME = Duration.ofMillis(300);
 
-  /** The same for a page of newest records: 1 MB in base64 over a link of 21 Mbit/s. */
+  /**
+   * Time within which a page of newest records is expected: 1 MB in base64 over a link of 21
+   * Mbit/s.
+   */
   private static final Duration EXPECTED_LIST_TIME = Duration.ofMillis(700);
 
   /** Maximum jitter that is added to the time at which a process makes a second call. */
@@ -57,8 +60,8 @@
   private static final Duration FIRST_PAUSE = Duration.ofMillis(100);
 
   /**
-   * Longest pause between retries; new records must be visible within 2 s after the end of an
-   * outage.
+   * Longest pause between retries; entries that lapsed during an outage must be visible again
+   * within 2 s after its end.
    */
   private static final Duration MAX_PAUSE = Duration.ofMillis(800);
 
@@ -204,7 +207,7 @@
               }
               onListPage(records, reply.page(), first == null ? reply : first);
             });
-    // A starting process makes no second call: it takes no requests so far, and many processes may
+    // A starting process makes no second call: it accepts no requests yet, and many processes may
     // start together.
     if (loaded) {
       listing.hedgeAfter(withJitter(EXPECTED_LIST_TIME));
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/job/ForeignJobRecordsTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/job/ForeignJobRecordsTest.java
@@ -97,7 +97,8 @@
   }
 
   /**
-   * Checks the same for a job of several records, one of which contains bytes of another writer.
+   * Checks that a job of several records, one of which contains bytes of another writer, is known
+   * again once all of them are written again.
    */
   @Test
   void aJobOfSeveralRecordsIsKnownOnceItIsWrittenAgain() {
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/job/JobReadLoadTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/job/JobReadLoadTest.java
@@ -24,7 +24,7 @@
 
 /**
  * Replays the reads of callers after all instances lost power: each job is read at several
- * instances, and no instance has read anything of the log so far.
+ * instances, and no instance has read anything of the log yet.
  */
 class JobReadLoadTest {
 
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/job/JobReplicaTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/job/JobReplicaTest.java
@@ -58,7 +58,7 @@
 
   /**
    * Guards against a result that changes its position. The store lost its history, and the holder
-   * loaded the list again. Meanwhile the holder wrote a result that was not in the list so far, and
+   * loaded the list again. Meanwhile the holder wrote a result that was not in the list yet, and
    * the next result got the same position.
    */
   @Test
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/job/JobRequestRouterTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/job/JobRequestRouterTest.java
@@ -192,8 +192,8 @@
   }
 
   /**
-   * Guards against the same fault when the standby, to which the call is forwarded next, refuses
-   * it.
+   * Guards against telling a caller that its job was not ended, although a silent holder may have
+   * ended it, because the standby refuses the forwarded call.
    */
   @Test
   void replacesARefusalOfTheStandbyAfterASilentHolder() {
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/store/KeyedFollowerTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/store/KeyedFollowerTest.java
@@ -229,8 +229,8 @@
   }
 
   /**
-   * Guards against the same fault when the history is gone and the call that reloads the list is
-   * silent.
+   * Guards against a change that takes effect seconds late, because the history is gone and the
+   * call that reloads the list is silent.
    */
   @Test
   void reportsAChangeInTimeWhenItsListIsSilent() {
@@ -281,7 +281,8 @@
   }
 
   /**
-   * Guards against the same fault when the follower's read was made during the outage and is
+   * Guards against a change that is noticed late although other components of the process have
+   * found the store available, because the follower's read was made during the outage and is
    * silent.
    */
   @Test
@@ -369,8 +370,8 @@
   }
 
   /**
-   * Guards against the same fault while the store is unavailable, when each request would find that
-   * out again.
+   * Guards against requests without a route that cause one call to the store each while the store
+   * is unavailable.
    */
   @Test
   void refreshMakesNoCallWhileTheStoreIsUnavailable() {
