--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/front/ConfigCheck.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/front/ConfigCheck.java
@@ -1,6 +1,6 @@
 package io.hawthornlb.gateway.front;
 
-import io.hawthornlb.gateway.store.LogProof;
+import io.hawthornlb.gateway.store.LogFreshness;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.concurrent.Future;
@@ -33,7 +33,7 @@
   /** Part of the time for a change that is left for what the clock and the answer may differ by. */
   private static final Duration MARGIN = Duration.ofMillis(200);
 
-  private final LogProof proof;
+  private final LogFreshness proof;
   private final Duration changeTime;
   private final ScheduledExecutorService executor;
   private int waiting;
@@ -44,21 +44,21 @@
    * @param proof tells how fresh the configuration is
    * @param changeTime time within which a change is to be in force everywhere
    */
-  public ConfigCheck(LogProof proof, Duration changeTime, ScheduledExecutorService executor) {
+  public ConfigCheck(LogFreshness proof, Duration changeTime, ScheduledExecutorService executor) {
     this.proof = proof;
     this.changeTime = changeTime;
     this.executor = executor;
   }
 
   /** Returns a moment before which no change was made that is not known. */
-  Instant provenAt() {
-    return proof.provenAt();
+  Instant freshAsOf() {
+    return proof.freshAsOf();
   }
 
   /** Returns whether all changes are known that are to be in force at a moment. */
   boolean holdsAt(Instant moment) {
     Instant latest = moment.minus(changeTime).plus(MARGIN);
-    return !proof.provenAt().isBefore(latest);
+    return !proof.freshAsOf().isBefore(latest);
   }
 
   /** Reads the configuration again, and acts when it holds at a moment or cannot be read. */
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/front/ForwardingHandler.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/front/ForwardingHandler.java
@@ -153,7 +153,7 @@
         .with("status", status)
         .with("cause", cause)
         .with("config", parts.config().current().map(RoutingConfig::version).orElse(-1L))
-        .with("configProven", String.valueOf(parts.check().provenAt()))
+        .with("configProven", String.valueOf(parts.check().freshAsOf()))
         .write();
   }
 }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/store/KeyedFollower.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/store/KeyedFollower.java
@@ -30,7 +30,7 @@
  * meanwhile. After a loss of history the listener gets the whole content again, so that it does not
  * miss removals in the lost part.
  */
-public final class KeyedFollower implements LogProof {
+public final class KeyedFollower implements LogFreshness {
 
   /**
    * Wait time of reads for changes that may be noticed late, such as the list of processes. That a
@@ -167,7 +167,7 @@
   }
 
   @Override
-  public Instant provenAt() {
+  public Instant freshAsOf() {
     return freshness.latest();
   }
 
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/store/LogProof.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/store/LogFreshness.java
@@ -4,10 +4,10 @@
 import java.util.concurrent.CompletionStage;
 
 /** Reports how current a process's copy of a log is, and updates the copy on request. */
-public interface LogProof {
+public interface LogFreshness {
 
   /** Returns a time; the process has read everything that was written before it. */
-  Instant provenAt();
+  Instant freshAsOf();
 
   /**
    * Reads the log immediately; concurrent callers share one read.
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/front/ConfigCheckTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/front/ConfigCheckTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.hawthornlb.gateway.VirtualLoop;
-import io.hawthornlb.gateway.store.LogProof;
+import io.hawthornlb.gateway.store.LogFreshness;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.concurrent.CompletableFuture;
@@ -22,26 +22,26 @@
   private int settled;
 
   /** Proof that the test renews. */
-  private static final class Proof implements LogProof {
+  private static final class Proof implements LogFreshness {
 
-    private Instant provenAt;
+    private Instant freshAsOf;
     private CompletableFuture<Void> next = new CompletableFuture<>();
     private int refreshes;
 
-    private Proof(Instant provenAt) {
-      this.provenAt = provenAt;
+    private Proof(Instant freshAsOf) {
+      this.freshAsOf = freshAsOf;
     }
 
     private void renewed(Instant at) {
-      provenAt = at;
+      freshAsOf = at;
       CompletableFuture<Void> ended = next;
       next = new CompletableFuture<>();
       ended.complete(null);
     }
 
     @Override
-    public Instant provenAt() {
-      return provenAt;
+    public Instant freshAsOf() {
+      return freshAsOf;
     }
 
     @Override
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/front/FrontServerTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/front/FrontServerTest.java
@@ -4,7 +4,7 @@
 
 import io.hawthornlb.gateway.SilentEventLog;
 import io.hawthornlb.gateway.route.ConfigHolder;
-import io.hawthornlb.gateway.store.LogProof;
+import io.hawthornlb.gateway.store.LogFreshness;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -41,10 +41,10 @@
   private FrontServer server;
 
   /** Proof of a log that was never read. */
-  private static final class NoProof implements LogProof {
+  private static final class NoProof implements LogFreshness {
 
     @Override
-    public Instant provenAt() {
+    public Instant freshAsOf() {
       return Instant.MIN;
     }
 
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/store/KeyedFollowerTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/store/KeyedFollowerTest.java
@@ -340,15 +340,15 @@
   @Test
   void isFreshAsOfTheBeginOfItsRead() {
     KeyedFollower follower = follow(PROMPT_WAIT);
-    Instant loaded = follower.provenAt();
+    Instant loaded = follower.freshAsOf();
     time.advance(PROMPT_WAIT.minusMillis(10));
-    assertTrue(follower.provenAt().isBefore(loaded.plus(Duration.ofMillis(10))));
+    assertTrue(follower.freshAsOf().isBefore(loaded.plus(Duration.ofMillis(10))));
     time.advance(PROMPT_WAIT.plusMillis(20));
-    assertTrue(!follower.provenAt().isBefore(loaded.plus(PROMPT_WAIT)));
-    Instant freshBeforeOutage = follower.provenAt();
+    assertTrue(!follower.freshAsOf().isBefore(loaded.plus(PROMPT_WAIT)));
+    Instant freshBeforeOutage = follower.freshAsOf();
     store.unavailable = true;
     time.advance(CHANGE_TIME);
-    assertTrue(!follower.provenAt().isAfter(freshBeforeOutage.plus(PROMPT_WAIT).plusMillis(10)));
+    assertTrue(!follower.freshAsOf().isAfter(freshBeforeOutage.plus(PROMPT_WAIT).plusMillis(10)));
   }
 
   /** Guards against requests without a route that cause one call to the store each. */
@@ -365,7 +365,7 @@
     assertEquals(1, store.reads);
     time.advance(Duration.ofMillis(2));
     assertTrue(first.toCompletableFuture().isDone());
-    assertTrue(!follower.provenAt().isBefore(requestedAt));
+    assertTrue(!follower.freshAsOf().isBefore(requestedAt));
     assertEquals(2, store.reads);
   }
 
