--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/process/GatewayProcess.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/process/GatewayProcess.java
@@ -131,7 +131,7 @@
     front = new FrontServer(handler, config, check, clock, log);
     caller.onRegained(follow(store, formats.endpointTopic(), wait, endpoints)::readNow);
     caller.onRegained(
-        follow(store, InstanceSource.TOPIC, KeyedFollower.UNHURRIED, instances)::readNow);
+        follow(store, InstanceSource.TOPIC, KeyedFollower.RELAXED_WAIT, instances)::readNow);
     instances.announce();
     loop.execute(jobs::start);
     lines = lines();
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/store/KeyedFollower.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/store/KeyedFollower.java
@@ -36,7 +36,7 @@
    * Wait time of reads for changes that may be noticed late, such as the list of processes. That a
    * process is silent is noticed by requests that it does not answer.
    */
-  public static final Duration UNHURRIED = Duration.ofSeconds(10);
+  public static final Duration RELAXED_WAIT = Duration.ofSeconds(10);
 
   /**
    * Pause after a read that returned records. When many processes or endpoints register at the same
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/process/InstanceListingTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/process/InstanceListingTest.java
@@ -103,7 +103,7 @@
             store,
             InstanceSource.TOPIC,
             0,
-            KeyedFollower.UNHURRIED,
+            KeyedFollower.RELAXED_WAIT,
             time.loop(),
             time,
             new SilentEventLog(),
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/relay/CutReadsTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/relay/CutReadsTest.java
@@ -203,7 +203,7 @@
       callers.put(name, caller);
       follow(caller, CONFIG_TOPIC, PROMPT_WAIT);
       follow(caller, ENDPOINTS_TOPIC, PROMPT_WAIT);
-      follow(caller, INSTANCES_TOPIC, KeyedFollower.UNHURRIED);
+      follow(caller, INSTANCES_TOPIC, KeyedFollower.RELAXED_WAIT);
       holdPartition(store.through(caller));
     }
     time.advance(Duration.ofMillis(100));
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/store/KeyedFollowerTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/store/KeyedFollowerTest.java
@@ -168,7 +168,7 @@
    */
   @Test
   void readsWithoutWaitingUntilTheStoreIsAvailable() {
-    follow(KeyedFollower.UNHURRIED);
+    follow(KeyedFollower.RELAXED_WAIT);
     store.unavailable = true;
     time.advance(Duration.ofSeconds(12));
     store.waits.clear();
@@ -176,7 +176,7 @@
     assertTrue(store.waits.stream().allMatch(Duration.ZERO::equals), store.waits.toString());
     store.unavailable = false;
     time.advance(Duration.ofSeconds(1));
-    assertEquals(KeyedFollower.UNHURRIED, store.waits.get(store.waits.size() - 1));
+    assertEquals(KeyedFollower.RELAXED_WAIT, store.waits.get(store.waits.size() - 1));
   }
 
   /**
@@ -389,7 +389,7 @@
    */
   @Test
   void readsSeldomForChangesThatMayBeNoticedLate() {
-    follow(KeyedFollower.UNHURRIED);
+    follow(KeyedFollower.RELAXED_WAIT);
     store.reads = 0;
     time.advance(Duration.ofSeconds(60));
     assertEquals(6, store.reads);
