--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/process/EndpointSource.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/process/EndpointSource.java
@@ -83,7 +83,7 @@
   }
 
   @Override
-  public void onRegained(Duration outage) {
+  public void onStoreRecovered(Duration outage) {
     if (outage.compareTo(LAPSING_OUTAGE) >= 0) {
       directory.outageEnded(clock.instant());
     }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/process/GatewayProcess.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/process/GatewayProcess.java
@@ -106,12 +106,12 @@
             new RelayJobPeers(fleet, links, clock),
             settings.jobPartitions(),
             () -> rank(fleet));
-    new RelayServer(direct, access.address(), caller::away, log)
+    new RelayServer(direct, access.address(), caller::storeUnavailable, log)
         .bind(loop, settings.self().address(), new RelayedJobCalls(jobs.calls(), clock));
     ConfigSource configs = new ConfigSource(formats, config, clock, log);
     Duration wait = KeyedFollower.waitWithin(settings.changeTime());
     KeyedFollower routes = follow(store, formats.configTopic(), wait, configs);
-    caller.onRegained(routes::readNow);
+    caller.onStoreRecovered(routes::readNow);
     ConfigCheck check = new ConfigCheck(routes, settings.changeTime(), loop);
     handler =
         new ForwardingHandler(
@@ -129,8 +129,8 @@
                 log,
                 metrics));
     front = new FrontServer(handler, config, check, clock, log);
-    caller.onRegained(follow(store, formats.endpointTopic(), wait, endpoints)::readNow);
-    caller.onRegained(
+    caller.onStoreRecovered(follow(store, formats.endpointTopic(), wait, endpoints)::readNow);
+    caller.onStoreRecovered(
         follow(store, InstanceSource.TOPIC, KeyedFollower.RELAXED_WAIT, instances)::readNow);
     instances.announce();
     loop.execute(jobs::start);
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/relay/RelayingHttpCaller.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/relay/RelayingHttpCaller.java
@@ -74,12 +74,12 @@
   }
 
   /** Returns whether the store is unavailable to this process. */
-  public boolean away() {
+  public boolean storeUnavailable() {
     return availability.unavailable();
   }
 
   /** Adds a listener that runs each time the store becomes available to this process again. */
-  public void onRegained(Runnable listener) {
+  public void onStoreRecovered(Runnable listener) {
     recoveryListeners.add(listener);
   }
 
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/store/KeyedFollower.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/store/KeyedFollower.java
@@ -105,7 +105,7 @@
     void onRecords(List<KeyedRecord> records);
 
     /** Called when the store is available again after an outage. */
-    default void onRegained(Duration outage) {}
+    default void onStoreRecovered(Duration outage) {}
   }
 
   /**
@@ -297,7 +297,7 @@
           .with("topic", topic)
           .with("millis", Duration.between(unavailableSince, clock.instant()).toMillis())
           .write();
-      listener.onRegained(Duration.between(unavailableSince, clock.instant()));
+      listener.onStoreRecovered(Duration.between(unavailableSince, clock.instant()));
     }
   }
 
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/process/EndpointSourceTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/process/EndpointSourceTest.java
@@ -63,7 +63,7 @@
   @Test
   void dropsARemovedEndpointAtOnceAfterAFailedRead() {
     source.onAll(List.of(new KeyedRecord("e1", GOOD)));
-    source.onRegained(Duration.ofMillis(100));
+    source.onStoreRecovered(Duration.ofMillis(100));
     source.onRecords(List.of(new KeyedRecord("e1", null)));
     assertEquals(List.of(), directory.usable("engine"));
   }
@@ -75,7 +75,7 @@
   @Test
   void findsInAWholeListWhatLeftAndWhatCameUnheard() {
     source.onAll(List.of(new KeyedRecord("e1", GOOD)));
-    source.onRegained(Duration.ofMillis(100));
+    source.onStoreRecovered(Duration.ofMillis(100));
     source.onAll(List.of(new KeyedRecord("e2", GOOD)));
     assertEquals(
         List.of("e2"), directory.usable("engine").stream().map(EndpointRecord::id).toList());
@@ -84,7 +84,7 @@
   @Test
   void keepsARemovedEndpointForAWhileAfterAnOutage() {
     source.onAll(List.of(new KeyedRecord("e1", GOOD)));
-    source.onRegained(Duration.ofSeconds(3));
+    source.onStoreRecovered(Duration.ofSeconds(3));
     source.onRecords(List.of(new KeyedRecord("e1", null)));
     assertEquals(1, directory.usable("engine").size());
     time.advance(Duration.ofMillis(1_700));
@@ -99,7 +99,7 @@
   @Test
   void usesAnEndpointNoLongerOnceItsEntryCannotBeRead() {
     source.onAll(List.of(new KeyedRecord("e1", GOOD), new KeyedRecord("e2", GOOD)));
-    source.onRegained(Duration.ofSeconds(3));
+    source.onStoreRecovered(Duration.ofSeconds(3));
     source.onRecords(List.of(new KeyedRecord("e1", BAD)));
     assertEquals(List.of("e2"), ids());
     source.onRecords(List.of(new KeyedRecord("e1", GOOD)));
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/relay/CutReadsTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/relay/CutReadsTest.java
@@ -222,7 +222,7 @@
             time,
             new SilentEventLog(),
             listener);
-    caller.onRegained(follower::readNow);
+    caller.onStoreRecovered(follower::readNow);
     follower.start();
   }
 
@@ -253,7 +253,7 @@
 
   private void answer(GatewayInstance peer, HttpCall call, CompletableFuture<HttpReply> result) {
     RelayingHttpCaller peerCaller = callers.get(peer.name());
-    if (peerCaller == null || peerCaller.away()) {
+    if (peerCaller == null || peerCaller.storeUnavailable()) {
       result.completeExceptionally(
           new HttpCallException("the peer cannot reach the store either", true));
       return;
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/relay/RelayingHttpCallerTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/relay/RelayingHttpCallerTest.java
@@ -61,7 +61,7 @@
     routes.clear();
     caller.call(append());
     assertEquals(List.of("a1"), routes);
-    assertTrue(caller.away());
+    assertTrue(caller.storeUnavailable());
   }
 
   /**
@@ -93,7 +93,7 @@
     store = () -> routes.size() == 1 ? cut() : replied(SUCCESS);
     assertEquals(200, status(caller.call(read())));
     assertEquals(List.of("direct", "direct"), routes);
-    assertFalse(caller.away());
+    assertFalse(caller.storeUnavailable());
   }
 
   @Test
@@ -101,7 +101,7 @@
     store = RelayingHttpCallerTest::cut;
     assertEquals(200, status(caller.call(read())));
     assertEquals(List.of("direct", "direct", "a1"), routes);
-    assertTrue(caller.away());
+    assertTrue(caller.storeUnavailable());
   }
 
   /**
@@ -147,7 +147,7 @@
     routes.clear();
     assertEquals(200, status(caller.call(read())));
     assertEquals(List.of("direct"), routes);
-    assertFalse(caller.away());
+    assertFalse(caller.storeUnavailable());
   }
 
   /**
@@ -163,7 +163,7 @@
     caller.call(read());
     silent.completeExceptionally(new HttpCallException("No reply in time", false));
     assertEquals(200, status(earlier));
-    assertFalse(caller.away());
+    assertFalse(caller.storeUnavailable());
     routes.clear();
     caller.call(read());
     assertEquals(List.of("direct"), routes);
@@ -184,9 +184,9 @@
     time.advance(StoreAvailability.MAX_PROBE_INTERVAL);
     store = () -> replied(SUCCESS);
     caller.call(read());
-    assertFalse(caller.away());
+    assertFalse(caller.storeUnavailable());
     silent.completeExceptionally(new HttpCallException("No reply in time", false));
-    assertFalse(caller.away());
+    assertFalse(caller.storeUnavailable());
   }
 
   /**
@@ -201,7 +201,7 @@
     store = () -> replied(SUCCESS);
     caller.call(read());
     waiting.complete(REFUSED);
-    assertTrue(caller.away());
+    assertTrue(caller.storeUnavailable());
   }
 
   /**
@@ -215,7 +215,7 @@
     store = () -> replied(SUCCESS);
     time.advance(StoreAvailability.MIN_PROBE_INTERVAL);
     caller.call(read());
-    assertFalse(caller.away());
+    assertFalse(caller.storeUnavailable());
     routes.clear();
     caller.call(read());
     assertEquals(List.of("direct"), routes);
@@ -227,7 +227,7 @@
    */
   @Test
   void notifiesListenersOnceWhenTheStoreIsAvailableAgain() {
-    caller.onRegained(() -> routes.add("notified"));
+    caller.onStoreRecovered(() -> routes.add("notified"));
     caller.call(read());
     store = () -> replied(REFUSED);
     caller.call(read());
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/store/KeyedFollowerTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/store/KeyedFollowerTest.java
@@ -118,7 +118,7 @@
     }
 
     @Override
-    public void onRegained(Duration duration) {
+    public void onStoreRecovered(Duration duration) {
       outage = duration;
     }
   }
