--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/JobRunners.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/JobRunners.java
@@ -104,7 +104,7 @@
   }
 
   /** Returns the router that handles calls about jobs. */
-  public JobRequestRouter calls() {
+  public JobRequestRouter router() {
     return router;
   }
 
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/process/GatewayProcess.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/process/GatewayProcess.java
@@ -107,7 +107,7 @@
             settings.jobPartitions(),
             () -> rank(fleet));
     new RelayServer(direct, access.address(), caller::storeUnavailable, log)
-        .bind(loop, settings.self().address(), new RelayedJobCalls(jobs.calls(), clock));
+        .bind(loop, settings.self().address(), new RelayedJobCalls(jobs.router(), clock));
     ConfigSource configs = new ConfigSource(formats, config, clock, log);
     Duration wait = KeyedFollower.waitWithin(settings.changeTime());
     KeyedFollower routes = follow(store, formats.configTopic(), wait, configs);
@@ -122,7 +122,7 @@
                 slots,
                 pool,
                 names,
-                jobs.calls(),
+                jobs.router(),
                 settings.self().dataCentre(),
                 loop,
                 clock,
