--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/front/ConfigFreshness.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/front/ConfigFreshness.java
@@ -1,6 +1,6 @@
 package io.hawthornlb.gateway.front;
 
-import io.hawthornlb.gateway.store.LogProof;
+import io.hawthornlb.gateway.store.LogFreshness;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.concurrent.Future;
@@ -39,7 +39,7 @@
    */
   private static final Duration MARGIN = Duration.ofMillis(200);
 
-  private final LogProof proof;
+  private final LogFreshness proof;
   private final Duration changeTime;
   private final ScheduledExecutorService executor;
   private int waiting;
@@ -50,21 +50,22 @@
    * @param proof reports up to which moment the configuration is known to be complete
    * @param changeTime time within which a change must be in force everywhere
    */
-  public ConfigFreshness(LogProof proof, Duration changeTime, ScheduledExecutorService executor) {
+  public ConfigFreshness(
+      LogFreshness proof, Duration changeTime, ScheduledExecutorService executor) {
     this.proof = proof;
     this.changeTime = changeTime;
     this.executor = executor;
   }
 
   /** Returns the moment up to which all changes of the configuration are known. */
-  Instant provenAt() {
-    return proof.provenAt();
+  Instant freshAsOf() {
+    return proof.freshAsOf();
   }
 
   /** Returns whether all changes that must be in force at a moment are known. */
   boolean isCurrentAt(Instant moment) {
     Instant latest = moment.minus(changeTime).plus(MARGIN);
-    return !proof.provenAt().isBefore(latest);
+    return !proof.freshAsOf().isBefore(latest);
   }
 
   /**
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/process/GatewayProcess.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/process/GatewayProcess.java
@@ -112,12 +112,12 @@
             new RelayJobPeers(fleet, relayTransport, clock),
             settings.jobPartitions(),
             () -> rank(fleet));
-    new RelayServer(direct, access.address(), caller::away, log)
-        .bind(loop, settings.self().address(), new RelayedJobCalls(jobs.calls(), clock));
+    new RelayServer(direct, access.address(), caller::storeUnavailable, log)
+        .bind(loop, settings.self().address(), new RelayedJobCalls(jobs.router(), clock));
     ConfigSource configs = new ConfigSource(formats, config, clock, log);
     Duration wait = KeyedFollower.waitWithin(settings.changeTime());
     KeyedFollower routes = follow(store, formats.configTopic(), wait, configs);
-    caller.onRegained(routes::readNow);
+    caller.onStoreRecovered(routes::readNow);
     ConfigFreshness check = new ConfigFreshness(routes, settings.changeTime(), loop);
     handler =
         new ForwardingHandler(
@@ -128,16 +128,16 @@
                 slots,
                 pool,
                 names,
-                jobs.calls(),
+                jobs.router(),
                 settings.self().dataCentre(),
                 loop,
                 clock,
                 log,
                 metrics));
     front = new FrontServer(handler, config, check, clock, log);
-    caller.onRegained(follow(store, formats.endpointTopic(), wait, endpoints)::readNow);
-    caller.onRegained(
-        follow(store, InstanceSource.TOPIC, KeyedFollower.UNHURRIED, instances)::readNow);
+    caller.onStoreRecovered(follow(store, formats.endpointTopic(), wait, endpoints)::readNow);
+    caller.onStoreRecovered(
+        follow(store, InstanceSource.TOPIC, KeyedFollower.RELAXED_WAIT, instances)::readNow);
     instances.announce();
     loop.execute(jobs::start);
     lines = lines();
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/process/EndpointSourceTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/process/EndpointSourceTest.java
@@ -64,7 +64,7 @@
   @Test
   void dropsARemovedEndpointImmediatelyAfterAFailedRead() {
     source.onAll(List.of(new KeyedRecord("e1", GOOD)));
-    source.onRegained(Duration.ofMillis(100));
+    source.onStoreRecovered(Duration.ofMillis(100));
     source.onRecords(List.of(new KeyedRecord("e1", null)));
     assertEquals(List.of(), directory.usable("engine"));
   }
@@ -76,7 +76,7 @@
   @Test
   void detectsMissedChangesFromACompleteList() {
     source.onAll(List.of(new KeyedRecord("e1", GOOD)));
-    source.onRegained(Duration.ofMillis(100));
+    source.onStoreRecovered(Duration.ofMillis(100));
     source.onAll(List.of(new KeyedRecord("e2", GOOD)));
     assertEquals(
         List.of("e2"), directory.usable("engine").stream().map(EndpointRecord::id).toList());
@@ -85,7 +85,7 @@
   @Test
   void keepsARemovedEndpointTemporarilyAfterAnOutage() {
     source.onAll(List.of(new KeyedRecord("e1", GOOD)));
-    source.onRegained(Duration.ofSeconds(3));
+    source.onStoreRecovered(Duration.ofSeconds(3));
     source.onRecords(List.of(new KeyedRecord("e1", null)));
     assertEquals(1, directory.usable("engine").size());
     time.advance(Duration.ofMillis(1_700));
@@ -100,7 +100,7 @@
   @Test
   void stopsUsingAnEndpointWhoseEntryIsUnreadable() {
     source.onAll(List.of(new KeyedRecord("e1", GOOD), new KeyedRecord("e2", GOOD)));
-    source.onRegained(Duration.ofSeconds(3));
+    source.onStoreRecovered(Duration.ofSeconds(3));
     source.onRecords(List.of(new KeyedRecord("e1", BAD)));
     assertEquals(List.of("e2"), ids());
     source.onRecords(List.of(new KeyedRecord("e1", GOOD)));
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/process/InstanceListingTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/process/InstanceListingTest.java
@@ -107,7 +107,7 @@
             store,
             InstanceSource.TOPIC,
             0,
-            KeyedFollower.UNHURRIED,
+            KeyedFollower.RELAXED_WAIT,
             time.loop(),
             time,
             new RecordingEventLog(),
