--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/endpoint/EndpointDirectory.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/endpoint/EndpointDirectory.java
@@ -57,7 +57,7 @@
 
   /** Adds or updates an entry, unless a former incarnation of the endpoint wrote it. */
   public void put(EndpointRecord entry) {
-    if (isSuperseded(entry.life())) {
+    if (isSuperseded(entry.incarnation())) {
       return;
     }
     expiring.remove(entry.id());
@@ -67,7 +67,7 @@
     }
     Long start = starts.put(entry.id(), entry.born());
     if (start != null && start < entry.born()) {
-      restartListeners.forEach(listener -> listener.accept(entry.life()));
+      restartListeners.forEach(listener -> listener.accept(entry.incarnation()));
     }
     if (!entry.equals(previous)) {
       onChanged();
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/endpoint/EndpointRecord.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/endpoint/EndpointRecord.java
@@ -43,7 +43,7 @@
   }
 
   /** Returns the incarnation of the endpoint that wrote the entry. */
-  public EndpointIncarnation life() {
+  public EndpointIncarnation incarnation() {
     return new EndpointIncarnation(id, born);
   }
 
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/front/Forwarding.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/front/Forwarding.java
@@ -240,7 +240,7 @@
     }
     if (answer instanceof SlotAnswer.Granted granted) {
       parts.metrics().time("requests.slot", route.name(), Duration.ofMillis(time.sinceArrival()));
-      send(granted.life());
+      send(granted.incarnation());
     } else if (answer instanceof SlotAnswer.Refused refused) {
       slot = null;
       logNoSlot(refused);
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/ItemRun.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/ItemRun.java
@@ -174,7 +174,7 @@
     }
     leaveLimiter();
     if (answer instanceof SlotAnswer.Granted granted) {
-      send(granted.life());
+      send(granted.incarnation());
     } else if (answer instanceof SlotAnswer.Revoked) {
       parts.metrics().count("items", "gave way");
       logLine("item.gave.way").write();
@@ -194,21 +194,28 @@
     }
   }
 
-  private void send(EndpointIncarnation life) {
-    Optional<EndpointRecord> target = parts.directory().find(life.id());
+  private void send(EndpointIncarnation incarnation) {
+    Optional<EndpointRecord> target = parts.directory().find(incarnation.id());
     if (target.isEmpty() || target.get().leaving()) {
-      excluded.add(life);
+      excluded.add(incarnation);
       end(SlotOutcome.REPLACED);
       retryAfter(PAUSE);
       return;
     }
     lastEventAt = parts.clock().instant();
     sentAt = lastEventAt;
-    logLine("item.sent").with("endpoint", life.id()).with("after", output.lastEventId()).write();
+    logLine("item.sent")
+        .with("endpoint", incarnation.id())
+        .with("after", output.lastEventId())
+        .write();
     call =
         parts
             .pool()
-            .send(life, target.get().address(), outgoing(life.id()), new ResponseListener(life));
+            .send(
+                incarnation,
+                target.get().address(),
+                outgoing(incarnation.id()),
+                new ResponseListener(incarnation));
     watch.start();
   }
 
@@ -300,7 +307,7 @@
   /** Handles the response of one endpoint. */
   private final class ResponseListener implements EndpointCallListener {
 
-    private final EndpointIncarnation life;
+    private final EndpointIncarnation incarnation;
     private final EventSplitter splitter = new EventSplitter();
     private int status;
     private boolean notRun;
@@ -308,8 +315,8 @@
     private boolean outOfSequence;
     private boolean signed;
 
-    private ResponseListener(EndpointIncarnation life) {
-      this.life = life;
+    private ResponseListener(EndpointIncarnation incarnation) {
+      this.incarnation = incarnation;
     }
 
     @Override
@@ -360,7 +367,7 @@
     @Override
     public void onEnd() {
       if (notRun) {
-        excluded.add(life);
+        excluded.add(incarnation);
         end(status == 421 ? SlotOutcome.REPLACED : SlotOutcome.SHED);
         retryAfter(PAUSE);
       } else if (status == 200 && signed && !splitter.hasPartialEvent()) {
@@ -369,15 +376,15 @@
         onFailure(true, "the response is incomplete or not signed");
       } else {
         // Another endpoint may complete the item that this one fails at.
-        excluded.add(life);
+        excluded.add(incarnation);
         failWithStatus(status);
       }
     }
 
     @Override
     public void onFailure(boolean sent, String cause) {
-      logLine("item.broken").with("endpoint", life.id()).with("cause", cause).write();
-      excluded.add(life);
+      logLine("item.broken").with("endpoint", incarnation.id()).with("cause", cause).write();
+      excluded.add(incarnation);
       end(sent ? SlotOutcome.FAILED : SlotOutcome.UNREACHED);
       retryAfter(PAUSE);
     }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/peer/FleetSlotClient.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/peer/FleetSlotClient.java
@@ -407,8 +407,12 @@
         // The later of two incarnations is the running one: either the endpoint is at the address
         // that this process's list has, or it has restarted since.
         EndpointIncarnation listed =
-            directory.find(grant.endpoint()).map(EndpointRecord::life).orElse(grant.life());
-        EndpointIncarnation incarnation = listed.follows(grant.life()) ? listed : grant.life();
+            directory
+                .find(grant.endpoint())
+                .map(EndpointRecord::incarnation)
+                .orElse(grant.incarnation());
+        EndpointIncarnation incarnation =
+            listed.follows(grant.incarnation()) ? listed : grant.incarnation();
         endpoint = incarnation;
         grantedAt = clock.instant();
         listener.onAnswer(new SlotAnswer.Granted(request.key(), incarnation));
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/peer/PeerCodec.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/peer/PeerCodec.java
@@ -118,7 +118,7 @@
   private static void packAnswer(MessageBufferPacker packer, SlotAnswer answer) throws IOException {
     if (answer instanceof SlotAnswer.Granted granted) {
       packKey(packer.packInt(GRANTED), answer.key());
-      packIncarnation(packer, granted.life());
+      packIncarnation(packer, granted.incarnation());
     } else if (answer instanceof SlotAnswer.Waiting waiting) {
       packKey(packer.packInt(WAITING), answer.key());
       packer.packLong(waiting.atMost().toMillis());
@@ -136,7 +136,7 @@
     packer.packString(renew.service()).packString(renew.holder());
     packer.packArrayHeader(renew.uses().size());
     for (SlotUse use : renew.uses()) {
-      packIncarnation(packer.packLong(use.number()), use.life());
+      packIncarnation(packer.packLong(use.number()), use.incarnation());
       packer.packBoolean(use.batch()).packLong(use.rank()).packLong(use.work().toMillis());
     }
   }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/process/EndpointSource.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/process/EndpointSource.java
@@ -90,7 +90,7 @@
   }
 
   private void put(EndpointRecord entry) {
-    if (directory.isSuperseded(entry.life())) {
+    if (directory.isSuperseded(entry.incarnation())) {
       log.important("endpoint", "entry.late")
           .with("endpoint", entry.id())
           .with("born", entry.born())
@@ -104,7 +104,7 @@
           .with("service", entry.service())
           .write();
     }
-    if (previous.isPresent() && entry.life().follows(previous.get().life())) {
+    if (previous.isPresent() && entry.incarnation().follows(previous.get().incarnation())) {
       log.important("endpoint", "restarted")
           .with("endpoint", entry.id())
           .with("born", entry.born())
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/process/GatewayProcess.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/process/GatewayProcess.java
@@ -100,7 +100,7 @@
     PeerTransport transport = peerTransport();
     FleetSlotClient slots = new FleetSlotClient(fleet, transport, directory, loop, clock, log);
     EndpointPool pool = new EndpointPool(loop, names, clock, metrics);
-    directory.onRemoval(endpoint -> pool.forget(endpoint.life()));
+    directory.onRemoval(endpoint -> pool.forget(endpoint.incarnation()));
     directory.onRestart(pool::onRestart);
     endpoints = new EndpointSource(formats, directory, loop, clock, log);
     instances = new InstanceSource(fleet, store, loop, clock, log);
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/SlotAnswer.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/SlotAnswer.java
@@ -12,9 +12,9 @@
   /**
    * The request may use a slot now.
    *
-   * @param life endpoint and incarnation that the slot belongs to
+   * @param incarnation endpoint and incarnation that the slot belongs to
    */
-  record Granted(SlotKey key, EndpointIncarnation life) implements SlotAnswer {
+  record Granted(SlotKey key, EndpointIncarnation incarnation) implements SlotAnswer {
 
     /** Creates a grant for an endpoint that has not reported when it started. */
     public Granted(SlotKey key, String endpoint) {
@@ -23,7 +23,7 @@
 
     /** Returns the id of the endpoint. */
     public String endpoint() {
-      return life.id();
+      return incarnation.id();
     }
   }
 
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/SlotUse.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/SlotUse.java
@@ -7,13 +7,13 @@
  * A slot in use, as reported by its holder.
  *
  * @param number number of the request at its holder
- * @param life endpoint and incarnation that the slot belongs to
+ * @param incarnation endpoint and incarnation that the slot belongs to
  * @param batch whether the slot is used by a batch item
  * @param rank rank of the request; see {@link SlotRequest#rank()}
  * @param work time for which the request still has to run; see {@link SlotRequest#work()}
  */
 public record SlotUse(
-    long number, EndpointIncarnation life, boolean batch, long rank, Duration work) {
+    long number, EndpointIncarnation incarnation, boolean batch, long rank, Duration work) {
 
   /** Creates a use of a slot at an endpoint that has not reported when it started. */
   public SlotUse(long number, String endpoint, boolean batch, long rank) {
@@ -22,6 +22,6 @@
 
   /** Returns the id of the endpoint. */
   public String endpoint() {
-    return life.id();
+    return incarnation.id();
   }
 }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/support/DefaultSlotCoordinator.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/support/DefaultSlotCoordinator.java
@@ -80,7 +80,7 @@
     SlotLease held = leases.find(request.key());
     if (held != null && leases.isCurrent(held)) {
       // The answer was lost, and the holder repeats its request.
-      return List.of(new SlotAnswer.Granted(request.key(), held.life()));
+      return List.of(new SlotAnswer.Granted(request.key(), held.incarnation()));
     }
     leases.drop(request.key());
     Waiter known = waiting.find(request.key());
@@ -165,7 +165,7 @@
       SlotLease known = leases.find(key);
       SlotLease renewed =
           known != null && known.endpoint().equals(use.endpoint())
-              ? known.renewed(use.life(), now)
+              ? known.renewed(use.incarnation(), now)
               : adopted(key, use, now);
       leases.put(renewed);
     }
@@ -337,7 +337,7 @@
     leases.put(
         new SlotLease(
             request.key(),
-            endpoint.life(),
+            endpoint.incarnation(),
             endpoint.dataCentre(),
             request.dataCentre(),
             request.batch(),
@@ -348,7 +348,7 @@
             now,
             now,
             false));
-    answers.add(new SlotAnswer.Granted(request.key(), endpoint.life()));
+    answers.add(new SlotAnswer.Granted(request.key(), endpoint.incarnation()));
     return true;
   }
 
@@ -364,7 +364,7 @@
     String where = directory.find(use.endpoint()).map(EndpointRecord::dataCentre).orElse("");
     return new SlotLease(
         key,
-        use.life(),
+        use.incarnation(),
         where,
         where,
         use.batch(),
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/support/SlotLease.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/support/SlotLease.java
@@ -14,7 +14,7 @@
  */
 record SlotLease(
     SlotKey key,
-    EndpointIncarnation life,
+    EndpointIncarnation incarnation,
     String endpointDataCentre,
     String dataCentre,
     boolean batch,
@@ -28,7 +28,7 @@
 
   /** Returns the id of the endpoint. */
   String endpoint() {
-    return life.id();
+    return incarnation.id();
   }
 
   /**
@@ -41,12 +41,12 @@
 
   /** Returns this lease with another position among the batch items. */
   SlotLease withLate(boolean nowLate) {
-    return with(life, nowLate, renewed, suspected);
+    return with(incarnation, nowLate, renewed, suspected);
   }
 
   /** Returns this lease as one whose endpoint is silent. */
   SlotLease withSuspicion() {
-    return with(life, late, renewed, true);
+    return with(incarnation, late, renewed, true);
   }
 
   /** Returns this lease with new values of the components that can change. */
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/support/SlotLeases.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/support/SlotLeases.java
@@ -42,7 +42,7 @@
    * instance has not heard of yet.
    */
   boolean isCurrent(SlotLease lease) {
-    return !directory.isSuperseded(lease.life());
+    return !directory.isSuperseded(lease.incarnation());
   }
 
   /** Stores a lease, replacing the one with the same key. */
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/support/SlotSearch.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/support/SlotSearch.java
@@ -127,9 +127,9 @@
     if (request.excluded().isEmpty()) {
       return false;
     }
-    EndpointIncarnation life = endpoint.life();
+    EndpointIncarnation incarnation = endpoint.incarnation();
     for (EndpointIncarnation each : request.excluded()) {
-      if (each.equals(life) || each.follows(life)) {
+      if (each.equals(incarnation) || each.follows(incarnation)) {
         return true;
       }
     }
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/slot/support/ConnectionReplay.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/slot/support/ConnectionReplay.java
@@ -128,7 +128,8 @@
     crossed += at(endpoint).equals(request.dataCentre()) ? 0 : 1;
     load += running.merge(endpoint, 1, Integer::sum);
     connect(holder + endpoint);
-    SlotUse use = new SlotUse(request.key().number(), granted.life(), false, 0, Duration.ZERO);
+    SlotUse use =
+        new SlotUse(request.key().number(), granted.incarnation(), false, 0, Duration.ZERO);
     uses.computeIfAbsent(holder, key -> new HashMap<>()).put(use.number(), use);
     int length = USE_MILLIS / 2 + random.nextInt(USE_MILLIS);
     time.at(time.now() + length, () -> end(request.key(), endpoint));
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/slot/support/CoordinatorFixture.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/slot/support/CoordinatorFixture.java
@@ -93,10 +93,11 @@
 
   /** Records that a request uses its slot from now on, until {@link #ended}. */
   void began(SlotRequest request, String endpoint) {
-    EndpointIncarnation life = EndpointIncarnation.ofUnknownStart(endpoint);
+    EndpointIncarnation incarnation = EndpointIncarnation.ofUnknownStart(endpoint);
     uses.put(
         request.key(),
-        new SlotUse(request.key().number(), life, request.batch(), request.rank(), request.work()));
+        new SlotUse(
+            request.key().number(), incarnation, request.batch(), request.rank(), request.work()));
   }
 
   void ended(SlotKey key) {
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/slot/support/OutlierReplayTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/slot/support/OutlierReplayTest.java
@@ -206,8 +206,8 @@
     Set<EndpointIncarnation> others =
         Set.copyOf(
             fixture.directory.usable(CoordinatorFixture.SERVICE).stream()
-                .map(EndpointRecord::life)
-                .filter(life -> !life.id().equals(endpoint))
+                .map(EndpointRecord::incarnation)
+                .filter(incarnation -> !incarnation.id().equals(endpoint))
                 .toList());
     SlotRequest request = fixture.request(dataCentre, false, 0, others);
     assertEquals(endpoint, fixture.granted(request));
