--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/front/Forwarding.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/front/Forwarding.java
@@ -133,7 +133,7 @@
   void onLoadReported(ReportedLoad load) {
     SlotKey held = slot;
     if (held != null && load.waiting() > 0) {
-      parts.slots().told(held, load);
+      parts.slots().reportLoad(held, load);
     }
   }
 
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/ItemRun.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/job/ItemRun.java
@@ -334,7 +334,7 @@
             .load()
             .read(response.headers())
             .filter(load -> load.waiting() > 0)
-            .ifPresent(load -> parts.slots().told(held, load));
+            .ifPresent(load -> parts.slots().reportLoad(held, load));
       }
       notRun = response.headers().contains(parts.names().notRun()) || status == 421;
       signed =
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/peer/FleetSlotClient.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/peer/FleetSlotClient.java
@@ -142,14 +142,14 @@
   }
 
   @Override
-  public void told(SlotKey key, ReportedLoad load) {
+  public void reportLoad(SlotKey key, ReportedLoad load) {
     Pending held = pending.get(key);
     if (held == null) {
       return;
     }
     String service = held.request.service();
     if (held.coordinator.equals(fleet.self())) {
-      local(service).told(key, load, clock.instant());
+      local(service).reportLoad(key, load, clock.instant());
     } else {
       transport.send(held.coordinator, new PeerMessage.Told(service, key, load));
     }
@@ -187,7 +187,7 @@
     } else if (message instanceof PeerMessage.Suspect suspect) {
       local(suspect.service()).suspect(suspect.key(), now);
     } else if (message instanceof PeerMessage.Told told) {
-      local(told.service()).told(told.key(), told.load(), now);
+      local(told.service()).reportLoad(told.key(), told.load(), now);
     } else if (message instanceof PeerMessage.Barred barred) {
       local(barred.service()).blockRequest(barred.fingerprint(), now);
     } else if (message instanceof PeerMessage.Renew renew) {
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/SlotClient.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/SlotClient.java
@@ -23,7 +23,7 @@
   void suspect(SlotKey key);
 
   /** Passes on the load that the endpoint of a slot reported. */
-  void told(SlotKey key, ReportedLoad load);
+  void reportLoad(SlotKey key, ReportedLoad load);
 
   /** Returns the key for a new request, unique in the fleet. */
   SlotKey nextKey();
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/SlotCoordinator.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/SlotCoordinator.java
@@ -33,7 +33,7 @@
   void suspect(SlotKey key, Instant now);
 
   /** Handles the load that the endpoint of a slot reported. */
-  void told(SlotKey key, ReportedLoad load, Instant now);
+  void reportLoad(SlotKey key, ReportedLoad load, Instant now);
 
   /** Blocks a request because another coordinator found that it crashed too many endpoints. */
   void blockRequest(long fingerprint, Instant now);
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/support/DefaultSlotCoordinator.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/slot/support/DefaultSlotCoordinator.java
@@ -138,7 +138,7 @@
   }
 
   @Override
-  public void told(SlotKey key, ReportedLoad load, Instant now) {
+  public void reportLoad(SlotKey key, ReportedLoad load, Instant now) {
     SlotLease lease = leases.find(key);
     if (lease != null && leases.isCurrent(lease)) {
       untrackedLoad.reported(lease.endpoint(), load, leases.used(lease.endpoint()), now);
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/job/JobFixture.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/job/JobFixture.java
@@ -145,7 +145,7 @@
     public void suspect(SlotKey key) {}
 
     @Override
-    public void told(SlotKey key, ReportedLoad load) {}
+    public void reportLoad(SlotKey key, ReportedLoad load) {}
 
     @Override
     public SlotKey nextKey() {
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/slot/support/DefaultSlotCoordinatorTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/slot/support/DefaultSlotCoordinatorTest.java
@@ -229,7 +229,7 @@
     fixture.endpoint("a1", "a", 8).endpoint("b1", "b", 8);
     SlotRequest first = fixture.online("a");
     assertEquals("a1", fixture.granted(first));
-    fixture.coordinator.told(first.key(), new ReportedLoad(8, 2), fixture.now);
+    fixture.coordinator.reportLoad(first.key(), new ReportedLoad(8, 2), fixture.now);
     for (int i = 0; i < 8; i++) {
       assertEquals("b1", fixture.granted(fixture.online("a")));
     }
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/slot/support/RestartedEndpointTest.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/slot/support/RestartedEndpointTest.java
@@ -127,9 +127,9 @@
     started("e1", "a", 1, 1);
     SlotRequest former = fixture.online("a");
     fixture.granted(former);
-    fixture.coordinator.told(former.key(), new ReportedLoad(8, 3), fixture.now);
+    fixture.coordinator.reportLoad(former.key(), new ReportedLoad(8, 3), fixture.now);
     started("e1", "a", 1, 2);
-    fixture.coordinator.told(former.key(), new ReportedLoad(8, 3), fixture.now);
+    fixture.coordinator.reportLoad(former.key(), new ReportedLoad(8, 3), fixture.now);
     assertEquals("e1", fixture.granted(fixture.online("a")));
   }
 
