--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/http/Authenticator.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/http/Authenticator.java
@@ -10,7 +10,7 @@
 import jakarta.inject.Singleton;
 import java.util.Optional;
 
-/** Finds the workspace of a request from its bearer key. */
+/** Authenticates a request: maps its bearer key to the workspace that owns the key. */
 @Singleton
 @Requires(property = "hawthornlb.role", value = "entry")
 public class Authenticator {
@@ -19,12 +19,12 @@
 
   private final CatalogueSource catalogue;
 
-  /** Creates an authenticator on the catalogue in force. */
+  /** Creates an authenticator that looks keys up in the catalogue in force. */
   public Authenticator(CatalogueSource catalogue) {
     this.catalogue = catalogue;
   }
 
-  /** Returns the workspace, or the refusal of a missing or unknown key. */
+  /** Returns the workspace of the request, or a refusal if the key is missing or unknown. */
   public Either<Refusal, WorkspaceEntry> workspace(HttpRequest<?> request) {
     return bearer(request)
         .flatMap(key -> catalogue.current().workspaceOfKey(key))
@@ -32,7 +32,7 @@
         .orElseGet(() -> Either.left(unauthorized()));
   }
 
-  /** Returns the bearer key of a request. */
+  /** Returns the bearer key of a request; empty if the Authorization header carries none. */
   public static Optional<String> bearer(HttpRequest<?> request) {
     return Optional.ofNullable(request.getHeaders().get(HttpHeaders.AUTHORIZATION))
         .filter(value -> value.regionMatches(true, 0, SCHEME, 0, SCHEME.length()))
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/http/CatalogueAdmin.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/http/CatalogueAdmin.java
@@ -6,19 +6,20 @@
 import java.util.List;
 import java.util.concurrent.CompletionStage;
 
-/** What operators can do with the catalogue. */
+/** Operations on the catalogue for operators. */
 public interface CatalogueAdmin {
 
-  /** Returns all faults that a catalogue would have in force. */
-  List<Finding> check(Catalogue wanted);
+  /** Checks a catalogue as if it came into force and returns all its faults. */
+  List<Finding> check(Catalogue proposed);
 
   /**
-   * Puts a catalogue in the place of a revision and returns what became of the edit.
+   * Replaces the catalogue if {@code baseRevision} is still in force, and returns the outcome of
+   * the edit.
    *
-   * <p>The stage fails when the log cannot be reached; the edit may then still take effect.
+   * <p>The stage fails if the log is unreachable. In that case the edit may still take effect.
    */
-  CompletionStage<EditOutcome> replace(long baseRevision, String author, Catalogue wanted);
+  CompletionStage<EditOutcome> replace(long baseRevision, String author, Catalogue proposed);
 
-  /** Returns the outcomes of the last edits, the oldest first. */
+  /** Returns the outcomes of the most recent edits, oldest first. */
   CompletionStage<List<EditOutcome>> history();
 }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/http/CatalogueController.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/http/CatalogueController.java
@@ -31,7 +31,7 @@
 import java.util.concurrent.TimeUnit;
 import org.jspecify.annotations.Nullable;
 
-/** The catalogue for operators. */
+/** HTTP API by which operators read, check and replace the catalogue. */
 @Controller("/v1/catalogue")
 @Requires(property = "hawthornlb.role", value = "entry")
 public class CatalogueController {
@@ -40,7 +40,7 @@
   private static final String AUTHOR_HEADER = "X-Author";
   private static final String UNKNOWN_AUTHOR = "unknown";
   private static final Duration EDIT_TIMEOUT = Duration.ofSeconds(10);
-  private static final Duration COME_BACK = Duration.ofSeconds(5);
+  private static final Duration RETRY_AFTER = Duration.ofSeconds(5);
 
   private final OperatorKeys operators;
   private final CatalogueSource catalogue;
@@ -61,49 +61,58 @@
       return unauthorized();
     }
     Catalogue current = catalogue.current().catalogue();
-    return HttpResponse.ok(new Shown(current.revision(), new CatalogueWriter().write(current)));
+    return HttpResponse.ok(
+        new CurrentCatalogue(current.revision(), new CatalogueWriter().write(current)));
   }
 
-  /** Puts a catalogue in force, unless another revision than the one named is in force. */
+  /**
+   * Replaces the catalogue if the revision in the If-Match header is still in force.
+   *
+   * <p>The body is the whole new catalogue in YAML. If the log does not confirm the edit within 10
+   * seconds, the response says that the edit may have taken effect.
+   */
   @Put(consumes = MediaType.ALL)
   public CompletionStage<MutableHttpResponse<?>> put(
       HttpRequest<?> request, @Body @Nullable String yaml) {
     if (!operators.allow(request)) {
       return CompletableFuture.completedFuture(unauthorized());
     }
-    Optional<Long> base =
-        request.getHeaders().findFirst(HttpHeaders.IF_MATCH).flatMap(CatalogueController::number);
-    if (base.isEmpty()) {
+    Optional<Long> baseRevision =
+        request
+            .getHeaders()
+            .findFirst(HttpHeaders.IF_MATCH)
+            .flatMap(CatalogueController::parseRevision);
+    if (baseRevision.isEmpty()) {
       return CompletableFuture.completedFuture(
           invalid(
               List.of(
                   new Finding(
                       "header", 0, HttpHeaders.IF_MATCH, "give the revision that this rests on"))));
     }
-    Validation<List<Finding>, Catalogue> wanted = read(yaml);
-    if (wanted.isInvalid()) {
-      return CompletableFuture.completedFuture(invalid(wanted.getError()));
+    Validation<List<Finding>, Catalogue> proposed = read(yaml);
+    if (proposed.isInvalid()) {
+      return CompletableFuture.completedFuture(invalid(proposed.getError()));
     }
     String author = request.getHeaders().findFirst(AUTHOR_HEADER).orElse(UNKNOWN_AUTHOR);
     return admin
-        .replace(base.get(), author, wanted.get())
+        .replace(baseRevision.get(), author, proposed.get())
         .toCompletableFuture()
         .orTimeout(EDIT_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS)
-        .handle((outcome, failure) -> outcome == null ? unknown() : answer(outcome));
+        .handle((outcome, failure) -> outcome == null ? outcomeUnknown() : response(outcome));
   }
 
-  /** Checks a catalogue and changes nothing. */
+  /** Checks a catalogue against the one in force without changing anything. */
   @Post(uri = "/check", consumes = MediaType.ALL)
   public MutableHttpResponse<?> check(HttpRequest<?> request, @Body @Nullable String yaml) {
     if (!operators.allow(request)) {
       return unauthorized();
     }
-    Validation<List<Finding>, Catalogue> wanted = read(yaml);
-    List<Finding> findings = wanted.fold(faults -> faults, admin::check);
-    return findings.isEmpty() ? HttpResponse.ok(new Checked(List.of())) : invalid(findings);
+    Validation<List<Finding>, Catalogue> proposed = read(yaml);
+    List<Finding> findings = proposed.fold(faults -> faults, admin::check);
+    return findings.isEmpty() ? HttpResponse.ok(new CheckPassed(List.of())) : invalid(findings);
   }
 
-  /** Returns the last edits. */
+  /** Returns the outcomes of the most recent edits. */
   @Get("/history")
   public CompletionStage<MutableHttpResponse<?>> history(HttpRequest<?> request) {
     if (!operators.allow(request)) {
@@ -119,7 +128,7 @@
     return new CatalogueReader().read(SOURCE, yaml == null ? "" : yaml);
   }
 
-  private static Optional<Long> number(String text) {
+  private static Optional<Long> parseRevision(String text) {
     try {
       return Optional.of(Long.parseLong(text.replace("\"", "").trim()));
     } catch (NumberFormatException e) {
@@ -127,14 +136,14 @@
     }
   }
 
-  private static MutableHttpResponse<?> answer(EditOutcome outcome) {
+  private static MutableHttpResponse<?> response(EditOutcome outcome) {
     if (outcome.verdict() == EditVerdict.ACCEPTED) {
       return HttpResponse.ok(new Accepted(outcome.revision()));
     }
     if (outcome.verdict() == EditVerdict.INVALID) {
       return invalid(outcome.findings());
     }
-    String winner =
+    String conflict =
         outcome
             .lostTo()
             .map(edit -> "edit " + edit.editId() + " by " + edit.author() + " came first")
@@ -142,7 +151,7 @@
     return ProblemResponses.of(
         Refusal.notRun(
             RefusalReason.KEY_CONFLICT,
-            winner + "; revision " + outcome.revision() + " is in force"));
+            conflict + "; revision " + outcome.revision() + " is in force"));
   }
 
   private static MutableHttpResponse<?> invalid(List<Finding> findings) {
@@ -154,12 +163,12 @@
         .status(422);
   }
 
-  private static MutableHttpResponse<?> unknown() {
+  private static MutableHttpResponse<?> outcomeUnknown() {
     Refusal refusal =
         new Refusal(
             RefusalReason.NOT_DURABLE,
             RunStatus.MAY_HAVE_RUN,
-            Optional.of(COME_BACK),
+            Optional.of(RETRY_AFTER),
             "the log gave no answer; look at the history before another edit",
             List.of());
     return ProblemResponses.of(refusal);
@@ -174,38 +183,38 @@
    * The catalogue in force.
    *
    * @param revision its revision
-   * @param yaml its content as a file
+   * @param yaml its content in the format of a catalogue file
    */
-  public record Shown(long revision, String yaml) {}
+  public record CurrentCatalogue(long revision, String yaml) {}
 
   /**
-   * An accepted edit.
+   * Response to an accepted edit.
    *
-   * @param revision the revision that it made
+   * @param revision the revision that the edit created
    */
   public record Accepted(long revision) {}
 
   /**
-   * A check.
+   * Response to a check that found no faults.
    *
-   * @param findings faults; always empty here
+   * @param findings always empty; a catalogue with faults gets a problem document instead
    */
-  public record Checked(List<Finding> findings) {}
+  public record CheckPassed(List<Finding> findings) {}
 
   /**
-   * The last edits.
+   * The most recent edits.
    *
-   * @param edits the oldest first
+   * @param edits the edits, oldest first
    */
   public record History(List<Edit> edits) {}
 
   /**
-   * One edit.
+   * The outcome of one edit.
    *
-   * @param editId names it
-   * @param author who made it
-   * @param revision the revision that it made, or that stayed in force
-   * @param verdict accepted, lost or invalid
+   * @param editId the id of the edit
+   * @param author the operator who made the edit
+   * @param revision the revision that the edit created, or the one that stayed in force
+   * @param verdict {@code accepted}, {@code lost} (another edit came first) or {@code invalid}
    */
   @JsonInclude(JsonInclude.Include.ALWAYS)
   public record Edit(String editId, String author, long revision, String verdict) {
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/http/CatalogueIndex.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/http/CatalogueIndex.java
@@ -10,13 +10,13 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** The catalogue in force, with workspaces by the hash of their keys. */
+/** A catalogue together with an index of its workspaces by the hashes of their bearer keys. */
 public final class CatalogueIndex {
 
   private final Catalogue catalogue;
   private final Map<String, WorkspaceEntry> workspacesByKeyHash = new HashMap<>();
 
-  /** Indexes a catalogue. */
+  /** Creates the index of a catalogue. */
   public CatalogueIndex(Catalogue catalogue) {
     this.catalogue = catalogue;
     for (WorkspaceEntry workspace : catalogue.workspaces().values()) {
@@ -24,23 +24,23 @@
     }
   }
 
-  /** Returns the catalogue. */
+  /** Returns the indexed catalogue. */
   public Catalogue catalogue() {
     return catalogue;
   }
 
-  /** Returns the workspace that a bearer key names. */
+  /** Returns the workspace that a bearer key belongs to; empty if the key is unknown. */
   public Optional<WorkspaceEntry> workspaceOfKey(String key) {
     return Optional.ofNullable(workspacesByKeyHash.get(hash(key)));
   }
 
-  /** Returns the SHA-256 of a key in lower-case hexadecimal. */
+  /** Returns the SHA-256 digest of a key in lower-case hexadecimal. */
   public static String hash(String key) {
     try {
       MessageDigest digest = MessageDigest.getInstance("SHA-256");
       return HexFormat.of().formatHex(digest.digest(key.getBytes(StandardCharsets.UTF_8)));
     } catch (NoSuchAlgorithmException e) {
-      throw new IllegalStateException("this Java lacks SHA-256; use a complete one", e);
+      throw new IllegalStateException("this Java runtime does not provide SHA-256", e);
     }
   }
 }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/http/CatalogueSource.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/http/CatalogueSource.java
@@ -1,8 +1,8 @@
 package io.hawthornlb.app.http;
 
-/** Gives the catalogue in force on this instance. */
+/** Provides the catalogue that is in force on this instance. */
 public interface CatalogueSource {
 
-  /** Returns the newest catalogue that this instance has folded. */
+  /** Returns the newest catalogue that this instance has folded from the catalogue stream. */
   CatalogueIndex current();
 }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/http/ChatCallReader.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/http/ChatCallReader.java
@@ -18,22 +18,22 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Reads a chat completion request and reports everything that is wrong with it at once. */
+/** Parses and validates a chat completion request, and reports all its faults together. */
 public final class ChatCallReader {
 
   private static final String SOURCE = "body";
   private static final int DEFAULT_MAX_TOKENS = 256;
-  private static final int LARGEST_MAX_TOKENS = 1 << 20;
-  private static final int CHARACTERS_A_TOKEN = 4;
+  private static final int MAX_TOKENS_LIMIT = 1 << 20;
+  private static final int CHARACTERS_PER_TOKEN = 4;
 
   private final ObjectMapper mapper;
 
-  /** Creates a reader. */
+  /** Creates a reader that parses bodies with the given mapper. */
   public ChatCallReader(ObjectMapper mapper) {
     this.mapper = mapper;
   }
 
-  /** Returns the request, or the refusal with all findings. */
+  /** Returns the validated request, or a refusal that lists all faults of the body. */
   public Either<Refusal, ChatCall> read(
       byte[] body, WorkspaceEntry workspace, Catalogue catalogue) {
     Either<Refusal, JsonNode> parsed = parse(body);
@@ -118,8 +118,8 @@
     if (value.isMissingNode() || value.isNull()) {
       return DEFAULT_MAX_TOKENS;
     }
-    if (!value.isInt() || value.asInt() < 1 || value.asInt() > LARGEST_MAX_TOKENS) {
-      findings.add(finding(0, name, "expected a whole number from 1 to " + LARGEST_MAX_TOKENS));
+    if (!value.isInt() || value.asInt() < 1 || value.asInt() > MAX_TOKENS_LIMIT) {
+      findings.add(finding(0, name, "expected a whole number from 1 to " + MAX_TOKENS_LIMIT));
       return DEFAULT_MAX_TOKENS;
     }
     return value.asInt();
@@ -137,7 +137,7 @@
         service,
         root.path("stream").asBoolean(false),
         maxTokens,
-        characters / CHARACTERS_A_TOKEN,
+        characters / CHARACTERS_PER_TOKEN,
         PrefixHashes.of(messages),
         body);
   }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/http/ChatController.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/http/ChatController.java
@@ -20,7 +20,7 @@
 import reactor.core.publisher.Flux;
 import reactor.core.publisher.Mono;
 
-/** Chat completions, whole or as a stream of events. */
+/** HTTP API for chat completions, answered in one body or as a stream of server-sent events. */
 @Controller("/v1/chat/completions")
 @Requires(property = "hawthornlb.role", value = "entry")
 public class ChatController {
@@ -42,7 +42,7 @@
     this.reader = new ChatCallReader(mapper);
   }
 
-  /** Serves one request. */
+  /** Completes one chat; streams the completion if the request sets {@code stream}. */
   @Post(consumes = MediaType.ALL, produces = MediaType.ALL)
   public Publisher<MutableHttpResponse<?>> complete(
       HttpRequest<?> request, @Body @Nullable byte[] body) {
@@ -50,14 +50,14 @@
     Either<Refusal, ChatCall> call =
         authenticator
             .workspace(request)
-            .flatMap(who -> reader.read(content, who, catalogue.current().catalogue()));
+            .flatMap(workspace -> reader.read(content, workspace, catalogue.current().catalogue()));
     if (call.isLeft()) {
       return Mono.just(ProblemResponses.of(call.getLeft()));
     }
-    return call.get().stream() ? stream(call.get()) : whole(call.get());
+    return call.get().stream() ? stream(call.get()) : completeInOneBody(call.get());
   }
 
-  private Mono<MutableHttpResponse<?>> whole(ChatCall call) {
+  private Mono<MutableHttpResponse<?>> completeInOneBody(ChatCall call) {
     return chat.complete(call)
         .<MutableHttpResponse<?>>map(ChatController::response)
         .onErrorResume(error -> Mono.just(ProblemResponses.of(error)));
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/http/HealthController.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/http/HealthController.java
@@ -9,7 +9,7 @@
 import io.micronaut.http.annotation.Get;
 import java.util.List;
 
-/** Tells the balancer and operators how the instance is. */
+/** Liveness and readiness checks for load balancers and operators. */
 @Controller("/health")
 @Requires(property = "hawthornlb.role", value = "entry")
 public class HealthController {
@@ -21,13 +21,13 @@
     this.readiness = readiness;
   }
 
-  /** Answers as long as the process runs. */
+  /** Returns 200 as long as the process runs. */
   @Get("/live")
   public Health live() {
     return new Health("live", List.of());
   }
 
-  /** Answers 200 when the instance takes requests, 503 with the obstacles otherwise. */
+  /** Returns 200 if the instance accepts requests, otherwise 503 with the reasons. */
   @Get("/ready")
   public MutableHttpResponse<Health> ready() {
     List<String> obstacles = readiness.obstacles().stream().map(Finding::text).toList();
@@ -39,10 +39,10 @@
   }
 
   /**
-   * State of the instance.
+   * Health of the instance.
    *
-   * @param state live, ready or not-ready
-   * @param obstacles what keeps it from being ready
+   * @param state {@code live}, {@code ready} or {@code not-ready}
+   * @param obstacles the reasons why the instance is not ready; empty otherwise
    */
   public record Health(String state, List<String> obstacles) {}
 }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/http/JobsController.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/http/JobsController.java
@@ -39,16 +39,16 @@
 import reactor.core.publisher.Flux;
 import reactor.core.publisher.Mono;
 
-/** Batch jobs of callers. */
+/** HTTP API by which callers submit, follow and cancel batch jobs. */
 @Controller("/v1/jobs")
 @Requires(property = "hawthornlb.role", value = "entry")
 public class JobsController {
 
   private static final String NDJSON = "application/x-ndjson";
-  private static final String NEXT_CURSOR = "Next-Cursor";
-  private static final String DUE = "Due";
+  private static final String NEXT_CURSOR_HEADER = "Next-Cursor";
+  private static final String DUE_HEADER = "Due";
   private static final Duration DEFAULT_DUE = Duration.ofHours(24);
-  private static final int SPANS_A_PAGE = 20;
+  private static final int SPANS_PER_PAGE = 20;
 
   private final Authenticator authenticator;
   private final CatalogueSource catalogue;
@@ -73,7 +73,12 @@
     this.clock = clock;
   }
 
-  /** Takes a job of one item a line and answers 202 once it is durable. */
+  /**
+   * Submits a job and answers 202 once the job is durable.
+   *
+   * <p>The body has one item per line. A job without a Due header is due 24 hours after its
+   * submission.
+   */
   @Post(consumes = MediaType.ALL)
   public Publisher<MutableHttpResponse<?>> submit(
       HttpRequest<?> request, @Body Publisher<byte[]> body) {
@@ -85,11 +90,11 @@
             .filter(value -> !value.isBlank());
     return forWorkspace(
         request,
-        who ->
+        workspace ->
             due.isLeft()
                 ? Mono.error(new RefusalException(due.getLeft()))
                 : jobs.submit(
-                        who.id(),
+                        workspace.id(),
                         key,
                         due.get(),
                         catalogue.current().catalogue(),
@@ -97,37 +102,43 @@
                     .map(id -> HttpResponse.accepted().body(new Accepted(id.value(), "running"))));
   }
 
-  /** Returns the state of a job. */
+  /** Returns the state of a job and the counts of its items. */
   @Get("/{id}")
   public Publisher<MutableHttpResponse<?>> status(HttpRequest<?> request, String id) {
     return forWorkspace(
         request,
-        who ->
-            reader.status(who.id(), new JobId(id)).map(found -> HttpResponse.ok(State.of(found))));
+        workspace ->
+            reader
+                .status(workspace.id(), new JobId(id))
+                .map(found -> HttpResponse.ok(State.of(found))));
   }
 
-  /** Returns outcomes, one a line, from a cursor on. */
+  /**
+   * Returns one page of item outcomes, one per line, starting at a cursor.
+   *
+   * <p>The Next-Cursor header holds the cursor of the next page if there is one.
+   */
   @Get(uri = "/{id}/results", produces = MediaType.ALL)
   public Publisher<MutableHttpResponse<?>> results(
       HttpRequest<?> request, String id, @QueryValue(defaultValue = "0") int cursor) {
     return forWorkspace(
         request,
-        who ->
+        workspace ->
             reader
-                .status(who.id(), new JobId(id))
-                .flatMap(found -> reader.results(found, Math.max(0, cursor), SPANS_A_PAGE))
+                .status(workspace.id(), new JobId(id))
+                .flatMap(found -> reader.results(found, Math.max(0, cursor), SPANS_PER_PAGE))
                 .map(this::page));
   }
 
-  /** Cancels a job. */
+  /** Cancels a job; outcomes that the job already has stay readable. */
   @Post(uri = "/{id}/cancel", consumes = MediaType.ALL)
   public Publisher<MutableHttpResponse<?>> cancel(HttpRequest<?> request, String id) {
     return forWorkspace(
         request,
-        who ->
+        workspace ->
             reader
-                .status(who.id(), new JobId(id))
-                .flatMap(found -> jobs.cancel(who.id(), found.header().id()))
+                .status(workspace.id(), new JobId(id))
+                .flatMap(found -> jobs.cancel(workspace.id(), found.header().id()))
                 .map(
                     answer ->
                         HttpResponse.ok(
@@ -141,15 +152,15 @@
         .workspace(request)
         .<Mono<MutableHttpResponse<?>>>fold(
             refusal -> Mono.just(ProblemResponses.of(refusal)),
-            who ->
+            workspace ->
                 action
-                    .apply(who)
+                    .apply(workspace)
                     .<MutableHttpResponse<?>>map(response -> response)
                     .onErrorResume(error -> Mono.just(ProblemResponses.of(error))));
   }
 
   private Either<Refusal, Instant> due(HttpRequest<?> request) {
-    String text = request.getHeaders().get(DUE);
+    String text = request.getHeaders().get(DUE_HEADER);
     if (text == null) {
       return Either.right(clock.instant().plus(DEFAULT_DUE));
     }
@@ -161,7 +172,10 @@
               .withFindings(
                   List.of(
                       new Finding(
-                          "header", 0, DUE, "expected a time such as 2026-05-01T04:00:00Z"))));
+                          "header",
+                          0,
+                          DUE_HEADER,
+                          "expected a time such as 2026-05-01T04:00:00Z"))));
     }
   }
 
@@ -169,7 +183,7 @@
     StringBuilder lines = new StringBuilder();
     page.outcomes().forEach(outcome -> lines.append(line(outcome)).append('\n'));
     MutableHttpResponse<?> response = HttpResponse.ok(lines.toString()).contentType(NDJSON);
-    page.next().ifPresent(next -> response.header(NEXT_CURSOR, Integer.toString(next)));
+    page.next().ifPresent(next -> response.header(NEXT_CURSOR_HEADER, Integer.toString(next)));
     return response;
   }
 
@@ -191,20 +205,20 @@
   }
 
   /**
-   * The answer to a submission or cancellation.
+   * Response to a submission or a cancellation.
    *
-   * @param id the job
-   * @param status what became of it
+   * @param id the id of the job
+   * @param status {@code running} after a submission; the result of a cancellation otherwise
    */
   public record Accepted(String id, String status) {}
 
   /**
    * The state of a job.
    *
-   * @param id the job
-   * @param status running, completed or cancelled
-   * @param due when it is due
-   * @param counts its items
+   * @param id the id of the job
+   * @param status {@code running}, {@code completed} or {@code cancelled}
+   * @param due the time by which the results are needed
+   * @param counts the numbers of its items by state
    */
   public record State(String id, String status, String due, Counts counts) {
 
@@ -223,12 +237,12 @@
   }
 
   /**
-   * Items of a job.
+   * Numbers of the items of a job.
    *
-   * @param total all
-   * @param completed those with a result
-   * @param failed those that cannot be done
-   * @param cancelled those that a cancellation stopped
+   * @param total all items
+   * @param completed items with a result
+   * @param failed items that failed for good
+   * @param cancelled items without an outcome if the job is cancelled, otherwise 0
    */
   public record Counts(int total, int completed, int failed, int cancelled) {}
 }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/http/LineSplitter.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/http/LineSplitter.java
@@ -7,18 +7,24 @@
 import reactor.core.publisher.Flux;
 import reactor.core.publisher.Mono;
 
-/** Cuts the buffers of one body into lines, whatever the places where the buffers end. */
+/** Splits the buffers of one request body into lines; a line may span several buffers. */
 final class LineSplitter {
 
   private static final byte LINE_FEED = '\n';
 
-  private final ByteArrayOutputStream rest = new ByteArrayOutputStream();
+  private final ByteArrayOutputStream partialLine = new ByteArrayOutputStream();
 
-  /** Returns the lines of a body; one subscription only. */
+  /**
+   * Returns the lines of a body, including an unterminated last line.
+   *
+   * <p>The result may be subscribed to only once, because the splitter keeps the partial line.
+   */
   Flux<String> lines(Flux<byte[]> buffers) {
     return buffers
         .concatMapIterable(this::split)
-        .concatWith(Mono.defer(() -> rest.size() == 0 ? Mono.empty() : Mono.just(take())));
+        .concatWith(
+            Mono.defer(
+                () -> partialLine.size() == 0 ? Mono.empty() : Mono.just(takePartialLine())));
   }
 
   private List<String> split(byte[] buffer) {
@@ -26,18 +32,18 @@
     int start = 0;
     for (int i = 0; i < buffer.length; i++) {
       if (buffer[i] == LINE_FEED) {
-        rest.write(buffer, start, i - start);
-        lines.add(take());
+        partialLine.write(buffer, start, i - start);
+        lines.add(takePartialLine());
         start = i + 1;
       }
     }
-    rest.write(buffer, start, buffer.length - start);
+    partialLine.write(buffer, start, buffer.length - start);
     return lines;
   }
 
-  private String take() {
-    String line = rest.toString(StandardCharsets.UTF_8);
-    rest.reset();
+  private String takePartialLine() {
+    String line = partialLine.toString(StandardCharsets.UTF_8);
+    partialLine.reset();
     return line;
   }
 }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/http/MetricsController.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/http/MetricsController.java
@@ -6,7 +6,7 @@
 import io.micronaut.http.annotation.Controller;
 import io.micronaut.http.annotation.Get;
 
-/** Gives all meters in the text format of Prometheus. */
+/** Exposes all meters in the Prometheus text format. */
 @Controller("/metrics")
 @Requires(property = "hawthornlb.role", value = "entry")
 public class MetricsController {
@@ -18,7 +18,7 @@
     this.registry = registry;
   }
 
-  /** Returns the meters. */
+  /** Returns the current values of all meters. */
   @Get(produces = MediaType.TEXT_PLAIN)
   public String scrape() {
     return registry.scrape();
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/http/ModelsController.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/http/ModelsController.java
@@ -11,7 +11,7 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** Lists the services that chat completions can name as their model. */
+/** Lists the services that a chat completion request can name as its model. */
 @Controller("/v1/models")
 @Requires(property = "hawthornlb.role", value = "entry")
 public class ModelsController {
@@ -25,7 +25,7 @@
     this.catalogue = catalogue;
   }
 
-  /** Returns the list. */
+  /** Returns all services of kind engine, sorted by name. */
   @Get
   public MutableHttpResponse<?> list(HttpRequest<?> request) {
     return authenticator
@@ -43,19 +43,19 @@
   }
 
   /**
-   * The list in the shape that clients expect.
+   * List of models in the format that chat completion clients expect.
    *
    * @param object always {@code list}
-   * @param data the models
+   * @param data the models, sorted by name
    */
   public record ModelList(String object, List<Model> data) {}
 
   /**
    * One model.
    *
-   * @param id the service name
+   * @param id the name of the service
    * @param object always {@code model}
-   * @param ownedBy the owner in the catalogue
+   * @param ownedBy the owner of the service according to the catalogue
    */
   public record Model(
       String id,
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/http/OperatorKeys.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/http/OperatorKeys.java
@@ -4,18 +4,18 @@
 import java.util.Set;
 
 /**
- * Recognizes operators by their keys.
+ * Authorizes operators by their bearer keys.
  *
- * @param hashes SHA-256 of each key in lower-case hexadecimal
+ * @param hashes the SHA-256 digest of each key in lower-case hexadecimal
  */
 public record OperatorKeys(Set<String> hashes) {
 
-  /** Copies the hashes. */
+  /** Creates the set of keys; the hashes are copied. */
   public OperatorKeys {
     hashes = Set.copyOf(hashes);
   }
 
-  /** Returns whether a request carries the key of an operator. */
+  /** Returns whether a request carries the bearer key of an operator. */
   public boolean allow(HttpRequest<?> request) {
     return Authenticator.bearer(request)
         .map(CatalogueIndex::hash)
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/http/PrefixHashes.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/http/PrefixHashes.java
@@ -8,26 +8,30 @@
 import java.util.HexFormat;
 import java.util.List;
 
-/** Hashes of the prefixes of a prompt, as engines name them in their cache events. */
+/**
+ * Computes hashes of the prefixes of a prompt.
+ *
+ * <p>The hashes equal the ones by which engines identify prefixes in their cache events.
+ */
 final class PrefixHashes {
 
-  private static final int HASH_CHARACTERS = 16;
+  private static final int HASH_LENGTH = 16;
   private static final byte LINE_FEED = '\n';
 
   private PrefixHashes() {}
 
-  /** Returns the hash of each proper prefix of the messages, shortest first. */
+  /** Returns the hash of each proper prefix of the message list, shortest prefix first. */
   static List<String> of(JsonNode messages) {
     MessageDigest digest = sha256();
     List<String> hashes = new ArrayList<>();
     for (int i = 0; i + 1 < messages.size(); i++) {
       update(digest, messages.get(i));
-      hashes.add(cut(digest));
+      hashes.add(currentHash(digest));
     }
     return hashes;
   }
 
-  /** Returns the content of a message as text. */
+  /** Returns the content of a message as text; an array of parts is returned as JSON. */
   static String content(JsonNode message) {
     JsonNode content = message.path("content");
     return content.isTextual() ? content.asText() : content.toString();
@@ -40,12 +44,13 @@
     digest.update(LINE_FEED);
   }
 
-  private static String cut(MessageDigest digest) {
+  private static String currentHash(MessageDigest digest) {
     try {
       MessageDigest copy = (MessageDigest) digest.clone();
-      return HexFormat.of().formatHex(copy.digest()).substring(0, HASH_CHARACTERS);
+      return HexFormat.of().formatHex(copy.digest()).substring(0, HASH_LENGTH);
     } catch (CloneNotSupportedException e) {
-      throw new IllegalStateException("this Java's SHA-256 cannot be cloned", e);
+      throw new IllegalStateException(
+          "the SHA-256 implementation of this Java runtime cannot be cloned", e);
     }
   }
 
@@ -53,7 +58,7 @@
     try {
       return MessageDigest.getInstance("SHA-256");
     } catch (NoSuchAlgorithmException e) {
-      throw new IllegalStateException("this Java lacks SHA-256; use a complete one", e);
+      throw new IllegalStateException("this Java runtime does not provide SHA-256", e);
     }
   }
 }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/http/ProblemDocument.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/http/ProblemDocument.java
@@ -10,14 +10,14 @@
 /**
  * A refusal as an RFC 9457 problem document.
  *
- * @param type names the reason
+ * @param type URN that identifies the reason
  * @param title the reason in words
  * @param status the HTTP status
  * @param detail one sentence about this occurrence
- * @param run {@code not-run} or {@code may-have-run}
- * @param retryAfterMillis when to come back, in milliseconds
- * @param findings faults of the input with their places
- * @param error the same message where clients of chat completions look for it
+ * @param run whether the request ran: {@code not-run} or {@code may-have-run}
+ * @param retryAfterMillis the delay before a retry in milliseconds, if one is known
+ * @param findings the faults of the input, each with its location
+ * @param error the same message in the field where chat completion clients expect it
  */
 @JsonInclude(JsonInclude.Include.NON_NULL)
 public record ProblemDocument(
@@ -35,7 +35,7 @@
 
   private static final String TYPE_PREFIX = "urn:hawthornlb:problem:";
 
-  /** Returns the document of a refusal. */
+  /** Returns the document that describes a refusal. */
   public static ProblemDocument of(Refusal refusal) {
     String name = refusal.reason().wireName();
     return new ProblemDocument(
@@ -49,18 +49,18 @@
         new ErrorDocument(refusal.detail(), name, name));
   }
 
-  /** Returns this document with another status. */
+  /** Returns a copy of this document with another status. */
   public ProblemDocument withStatus(int other) {
     return new ProblemDocument(type, title, other, detail, run, retryAfterMillis, findings, error);
   }
 
   /**
-   * One finding.
+   * One fault of the input.
    *
-   * @param source what was read
-   * @param line the line, or 0
-   * @param path the place inside the document
-   * @param message what is wrong
+   * @param source the input that has the fault, such as {@code body} or {@code header}
+   * @param line the line number, or 0 if unknown
+   * @param path the path of the value inside the input
+   * @param message the fault and what was expected
    */
   public record FindingDocument(String source, int line, String path, String message) {
 
@@ -71,11 +71,11 @@
   }
 
   /**
-   * The message in the shape of chat completion errors.
+   * The refusal in the error format of chat completion APIs.
    *
-   * @param message the detail
-   * @param type the reason
-   * @param code the reason
+   * @param message the detail of the refusal
+   * @param type the name of the reason
+   * @param code the name of the reason
    */
   public record ErrorDocument(String message, String type, String code) {}
 }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/http/ProblemErrorProcessor.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/http/ProblemErrorProcessor.java
@@ -13,7 +13,7 @@
 import jakarta.inject.Singleton;
 import java.util.List;
 
-/** Gives errors that the HTTP server finds itself the shape of every other refusal. */
+/** Converts errors that the HTTP server itself detects into problem documents. */
 @Singleton
 @Primary
 @Requires(property = "hawthornlb.role", value = "entry")
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/http/ReadinessSource.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/http/ReadinessSource.java
@@ -3,9 +3,9 @@
 import io.hawthornlb.core.model.Finding;
 import java.util.List;
 
-/** Tells whether this instance can take requests. */
+/** Reports whether this instance can accept requests. */
 public interface ReadinessSource {
 
-  /** Returns what keeps the instance from taking requests; empty when it is ready. */
+  /** Returns the reasons why the instance cannot accept requests; empty if it is ready. */
   List<Finding> obstacles();
 }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/http/ServicesController.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/http/ServicesController.java
@@ -35,19 +35,19 @@
 import org.reactivestreams.Publisher;
 import reactor.core.publisher.Mono;
 
-/** Passes calls of any method to plain services. */
+/** HTTP API that forwards requests to services of kind plain. */
 @Controller("/services")
 @Requires(property = "hawthornlb.role", value = "entry")
 public class ServicesController {
 
-  /** The header that names a call which must not run twice. */
+  /** The header whose value identifies a request that must run at most once. */
   public static final String IDEMPOTENCY_KEY = "Idempotency-Key";
 
-  private static final int LONGEST_KEY = 255;
+  private static final int MAX_KEY_LENGTH = 255;
   private static final String PREFIX = "/services/";
-  private static final String ROOT = "/{service}";
-  private static final String BELOW = "/{service}/{+rest}";
-  private static final Set<String> OWN_HEADERS =
+  private static final String SERVICE_ROOT = "/{service}";
+  private static final String SERVICE_PATH = "/{service}/{+rest}";
+  private static final Set<String> HEADERS_NOT_FORWARDED =
       Set.of(
           "authorization",
           "connection",
@@ -72,66 +72,67 @@
     this.services = services;
   }
 
-  /** Passes a GET. */
+  /** Forwards a GET request to the service. */
   @Get(
-      uris = {ROOT, BELOW},
+      uris = {SERVICE_ROOT, SERVICE_PATH},
       produces = MediaType.ALL)
   public Publisher<MutableHttpResponse<?>> read(HttpRequest<?> request, String service) {
-    return pass(request, service, null);
+    return forward(request, service, null);
   }
 
-  /** Passes a HEAD. */
-  @Head(uris = {ROOT, BELOW})
+  /** Forwards a HEAD request to the service. */
+  @Head(uris = {SERVICE_ROOT, SERVICE_PATH})
   public Publisher<MutableHttpResponse<?>> head(HttpRequest<?> request, String service) {
-    return pass(request, service, null);
+    return forward(request, service, null);
   }
 
-  /** Passes a POST. */
+  /** Forwards a POST request to the service. */
   @Post(
-      uris = {ROOT, BELOW},
+      uris = {SERVICE_ROOT, SERVICE_PATH},
       consumes = MediaType.ALL,
       produces = MediaType.ALL)
   public Publisher<MutableHttpResponse<?>> post(
       HttpRequest<?> request, String service, @Body @Nullable byte[] body) {
-    return pass(request, service, body);
+    return forward(request, service, body);
   }
 
-  /** Passes a PUT. */
+  /** Forwards a PUT request to the service. */
   @Put(
-      uris = {ROOT, BELOW},
+      uris = {SERVICE_ROOT, SERVICE_PATH},
       consumes = MediaType.ALL,
       produces = MediaType.ALL)
   public Publisher<MutableHttpResponse<?>> put(
       HttpRequest<?> request, String service, @Body @Nullable byte[] body) {
-    return pass(request, service, body);
+    return forward(request, service, body);
   }
 
-  /** Passes a PATCH. */
+  /** Forwards a PATCH request to the service. */
   @Patch(
-      uris = {ROOT, BELOW},
+      uris = {SERVICE_ROOT, SERVICE_PATH},
       consumes = MediaType.ALL,
       produces = MediaType.ALL)
   public Publisher<MutableHttpResponse<?>> patch(
       HttpRequest<?> request, String service, @Body @Nullable byte[] body) {
-    return pass(request, service, body);
+    return forward(request, service, body);
   }
 
-  /** Passes a DELETE. */
+  /** Forwards a DELETE request to the service. */
   @Delete(
-      uris = {ROOT, BELOW},
+      uris = {SERVICE_ROOT, SERVICE_PATH},
       consumes = MediaType.ALL,
       produces = MediaType.ALL)
   public Publisher<MutableHttpResponse<?>> delete(
       HttpRequest<?> request, String service, @Body @Nullable byte[] body) {
-    return pass(request, service, body);
+    return forward(request, service, body);
   }
 
-  private Publisher<MutableHttpResponse<?>> pass(
+  private Publisher<MutableHttpResponse<?>> forward(
       HttpRequest<?> request, String service, byte @Nullable [] body) {
     Either<Refusal, PlainCall> call =
         authenticator
             .workspace(request)
-            .flatMap(who -> call(request, who, service, body == null ? new byte[0] : body));
+            .flatMap(
+                workspace -> call(request, workspace, service, body == null ? new byte[0] : body));
     if (call.isLeft()) {
       return Mono.just(ProblemResponses.of(call.getLeft()));
     }
@@ -156,7 +157,7 @@
       return Either.left(Refusal.notRun(RefusalReason.TOO_LARGE, "the body is over the limit"));
     }
     List<String> keys = request.getHeaders().getAll(IDEMPOTENCY_KEY);
-    Optional<Finding> fault = fault(keys);
+    Optional<Finding> fault = idempotencyKeyFault(keys);
     if (fault.isPresent()) {
       return Either.left(
           Refusal.notRun(RefusalReason.INVALID_REQUEST, "the request has 1 fault(s)")
@@ -167,28 +168,30 @@
             workspace,
             service.get(),
             request.getMethodName(),
-            uriBelow(request, name),
+            uriWithinService(request, name),
             headers(request),
             keys.stream().findFirst(),
             body));
   }
 
-  private static Optional<Finding> fault(List<String> keys) {
+  private static Optional<Finding> idempotencyKeyFault(List<String> keys) {
     boolean valid =
         keys.isEmpty()
-            || (keys.size() == 1 && !keys.get(0).isBlank() && keys.get(0).length() <= LONGEST_KEY);
-    String message = "expected one value of 1 to " + LONGEST_KEY + " characters";
+            || (keys.size() == 1
+                && !keys.get(0).isBlank()
+                && keys.get(0).length() <= MAX_KEY_LENGTH);
+    String message = "expected one value of 1 to " + MAX_KEY_LENGTH + " characters";
     return valid
         ? Optional.empty()
         : Optional.of(new Finding("header", 0, IDEMPOTENCY_KEY, message));
   }
 
-  private static String uriBelow(HttpRequest<?> request, String service) {
+  private static String uriWithinService(HttpRequest<?> request, String service) {
     String path = request.getUri().getRawPath();
-    int rest = path.indexOf('/', PREFIX.length());
-    String below = rest < 0 ? "/" : path.substring(rest);
+    int start = path.indexOf('/', PREFIX.length());
+    String relativePath = start < 0 ? "/" : path.substring(start);
     String query = request.getUri().getRawQuery();
-    return query == null ? below : below + "?" + query;
+    return query == null ? relativePath : relativePath + "?" + query;
   }
 
   private static List<HeaderField> headers(HttpRequest<?> request) {
@@ -197,7 +200,7 @@
         .getHeaders()
         .forEach(
             (name, values) -> {
-              if (!OWN_HEADERS.contains(name.toLowerCase(Locale.ROOT))) {
+              if (!HEADERS_NOT_FORWARDED.contains(name.toLowerCase(Locale.ROOT))) {
                 values.forEach(value -> fields.add(new HeaderField(name, value)));
               }
             });
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/http/package-info.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/http/package-info.java
@@ -1,6 +1,4 @@
-/**
- * What callers and operators see: HTTP controllers, checks of their input and problem documents.
- */
+/** HTTP API for callers and operators: controllers, input validation and problem documents. */
 @NullMarked
 package io.hawthornlb.app.http;
 
