--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/settings/CatalogueReader.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/settings/CatalogueReader.java
@@ -25,7 +25,12 @@
 import java.util.function.Supplier;
 import java.util.stream.Collectors;
 
-/** Reads and checks catalogue files; the catalogue read has no revision yet (-1). */
+/**
+ * Reads and validates catalogue files.
+ *
+ * <p>The returned catalogue has revision -1, because it gets a revision only when it is put in
+ * force.
+ */
 public final class CatalogueReader {
 
   private static final double MAX_RATE = 1_000_000;
@@ -35,12 +40,12 @@
 
   private final ConfigReader reader = new YamlConfigReader();
 
-  /** Reads a catalogue file. */
+  /** Returns the catalogue in a file, or all faults of the file. */
   public Validation<List<Finding>, Catalogue> read(Path file) {
     return TextFiles.read(file).flatMap(content -> read(file.toString(), content));
   }
 
-  /** Reads the text of a catalogue, which findings call {@code source}. */
+  /** Returns the catalogue in a text, or all its faults; findings name {@code source} as origin. */
   public Validation<List<Finding>, Catalogue> read(String source, String content) {
     return reader.read(source, content, CatalogueReader::bind);
   }
@@ -111,7 +116,10 @@
   }
 
   /**
-   * Reads the time to the first token; without one, a deadline shorter than the default caps it.
+   * Reads the time limit for the first token.
+   *
+   * <p>If the limit is not set and the deadline is shorter than the default limit, the deadline
+   * applies to the first token, too.
    */
   private static Optional<Duration> firstToken(
       ConfigSection section, Optional<ServiceKind> kind, Optional<Duration> deadline) {
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/settings/CatalogueWriter.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/settings/CatalogueWriter.java
@@ -13,10 +13,10 @@
 import org.yaml.snakeyaml.DumperOptions;
 import org.yaml.snakeyaml.Yaml;
 
-/** Writes a catalogue as the YAML that {@link CatalogueReader} reads, sorted by name. */
+/** Writes a catalogue as YAML for {@link CatalogueReader}, with entries sorted by name. */
 public final class CatalogueWriter {
 
-  /** Returns the text of a catalogue. */
+  /** Returns the YAML text of a catalogue. */
   public String write(Catalogue catalogue) {
     Map<String, Object> services = new LinkedHashMap<>();
     new TreeMap<>(catalogue.services())
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/settings/EntrySettings.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/settings/EntrySettings.java
@@ -24,62 +24,62 @@
     this.limits = builder.limits;
     this.operatorKeyHashes = List.copyOf(builder.operatorKeyHashes);
     this.logLevel = builder.logLevel;
-    checkPlainPeers();
+    requireTlsBeyondLoopback();
   }
 
-  private void checkPlainPeers() {
+  private void requireTlsBeyondLoopback() {
     Checks.isTrue(
         peers.tls().mode() != TlsMode.PLAIN || peers.address().isLoopback(),
-        "peers without TLS must listen on loopback");
+        "peers without TLS must listen on a loopback address");
   }
 
-  /** Starts settings from the parts that have no default. */
+  /** Returns a builder that holds the required parts, which have no default. */
   public static Builder builder(
       InstanceSettings instance, HttpSettings http, PeerSettings peers, PlatformSettings platform) {
     return new Builder(instance, http, peers, platform);
   }
 
-  /** Returns who this instance is. */
+  /** Returns the identity of this instance. */
   public InstanceSettings instance() {
     return instance;
   }
 
-  /** Returns the front door for callers. */
+  /** Returns the settings of the HTTP server for callers. */
   public HttpSettings http() {
     return http;
   }
 
-  /** Returns how to talk to other entries. */
+  /** Returns the settings for connections to other entry instances. */
   public PeerSettings peers() {
     return peers;
   }
 
-  /** Returns where the platform answers. */
+  /** Returns the settings for calls to the platform. */
   public PlatformSettings platform() {
     return platform;
   }
 
-  /** Returns how partitions are claimed. */
+  /** Returns the settings for claiming partitions. */
   public ClaimSettings claims() {
     return claims;
   }
 
-  /** Returns what the instance takes on at most. */
+  /** Returns the load limits of this instance. */
   public LimitSettings limits() {
     return limits;
   }
 
-  /** Returns the SHA-256 of each operator's key in lower-case hexadecimal. */
+  /** Returns the SHA-256 digest of each operator's key in lower-case hexadecimal. */
   public List<String> operatorKeyHashes() {
     return operatorKeyHashes;
   }
 
-  /** Returns the least serious event that is logged. */
+  /** Returns the lowest level at which events are logged. */
   public LogLevel logLevel() {
     return logLevel;
   }
 
-  /** Collects the parts of {@link EntrySettings}. */
+  /** Builder of {@link EntrySettings}. */
   public static final class Builder {
 
     private final InstanceSettings instance;
@@ -102,31 +102,35 @@
       this.platform = platform;
     }
 
-    /** Sets how partitions are claimed; {@link ClaimSettings#DEFAULT} by default. */
+    /** Sets the settings for claiming partitions; {@link ClaimSettings#DEFAULT} by default. */
     public Builder claims(ClaimSettings value) {
       this.claims = value;
       return this;
     }
 
-    /** Sets the limits; {@link LimitSettings#DEFAULT} by default. */
+    /** Sets the load limits; {@link LimitSettings#DEFAULT} by default. */
     public Builder limits(LimitSettings value) {
       this.limits = value;
       return this;
     }
 
-    /** Sets the hashes of operators' keys; none by default, so that nobody may edit. */
+    /** Sets the hashes of operators' keys; empty by default, so nobody may edit the catalogue. */
     public Builder operatorKeyHashes(List<String> value) {
       this.operatorKeyHashes = value;
       return this;
     }
 
-    /** Sets the log level; info by default. */
+    /** Sets the log level; {@link LogLevel#INFO} by default. */
     public Builder logLevel(LogLevel value) {
       this.logLevel = value;
       return this;
     }
 
-    /** Returns the settings. */
+    /**
+     * Returns the settings.
+     *
+     * @throws IllegalArgumentException if peers listen without TLS on an address beyond loopback
+     */
     public EntrySettings build() {
       return new EntrySettings(this);
     }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/settings/EntrySettingsReader.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/settings/EntrySettingsReader.java
@@ -13,21 +13,25 @@
 import java.util.Optional;
 import java.util.function.Supplier;
 
-/** Reads and checks the settings of an entry; paths are taken relative to the settings file. */
+/**
+ * Reads and validates the settings of an entry instance.
+ *
+ * <p>Relative paths in the settings are resolved against the folder of the settings file.
+ */
 public final class EntrySettingsReader {
 
   private static final int MAX_PARTITIONS = 4_096;
   private static final int MAX_REQUESTS = 1_000_000;
-  private static final int RENEWALS_IN_SILENCE = 2;
+  private static final int MIN_RENEWALS_PER_SILENCE = 2;
 
   private final ConfigReader reader = new YamlConfigReader();
 
-  /** Reads a settings file. */
+  /** Returns the settings in a file, or all faults of the file. */
   public Validation<List<Finding>, EntrySettings> read(Path file) {
     return TextFiles.read(file).flatMap(content -> read(file, content));
   }
 
-  /** Reads settings as if they stood in a file. */
+  /** Returns the settings in a text, or all its faults, as if the text were read from a file. */
   public Validation<List<Finding>, EntrySettings> read(Path file, String content) {
     PeerSettingsBinding peers = new PeerSettingsBinding(file);
     return reader.read(file.toString(), content, root -> bind(root, peers));
@@ -94,7 +98,7 @@
     Duration renew = SettingValues.positiveDuration(section, "renew").orElse(defaults.renew());
     Duration silence =
         SettingValues.positiveDuration(section, "silence").orElse(defaults.silence());
-    if (renew.multipliedBy(RENEWALS_IN_SILENCE).compareTo(silence) > 0) {
+    if (renew.multipliedBy(MIN_RENEWALS_PER_SILENCE).compareTo(silence) > 0) {
       String key = section.has("silence") ? "silence" : "renew";
       section.reject(key, "silence must be at least twice renew, so that one renewal may be lost");
     }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/settings/HttpSettings.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/settings/HttpSettings.java
@@ -1,13 +1,13 @@
 package io.hawthornlb.app.settings;
 
 /**
- * The front door for callers.
+ * Settings of the HTTP server for callers.
  *
- * @param address where it listens
+ * @param address the address on which the server listens
  * @param bodyLimit the largest request body in bytes
  */
 public record HttpSettings(NetworkAddress address, int bodyLimit) {
 
-  /** The largest request body unless the settings say otherwise. */
+  /** Default limit of a request body in bytes. */
   public static final int DEFAULT_BODY_LIMIT = 16 << 20;
 }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/settings/InstanceSettings.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/settings/InstanceSettings.java
@@ -4,9 +4,9 @@
 import io.hawthornlb.core.model.InstanceId;
 
 /**
- * Who this instance is.
+ * Identity of this instance.
  *
- * @param id its name; unique in the fleet
- * @param dataCentre where it runs
+ * @param id the id of the instance, unique in the fleet
+ * @param dataCentre the data centre in which the instance runs
  */
 public record InstanceSettings(InstanceId id, DataCentre dataCentre) {}
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/settings/KeyHashes.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/settings/KeyHashes.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import java.util.regex.Pattern;
 
-/** Hashes of bearer keys: SHA-256 in lower-case hexadecimal. */
+/** Computes and validates hashes of bearer keys: SHA-256 in lower-case hexadecimal. */
 public final class KeyHashes {
 
   private static final Pattern HASH = Pattern.compile("[0-9a-f]{64}");
@@ -23,11 +23,11 @@
       MessageDigest digest = MessageDigest.getInstance("SHA-256");
       return HexFormat.of().formatHex(digest.digest(key.getBytes(StandardCharsets.UTF_8)));
     } catch (NoSuchAlgorithmException e) {
-      throw new IllegalStateException("every Java runtime has SHA-256", e);
+      throw new IllegalStateException("this Java runtime does not provide SHA-256", e);
     }
   }
 
-  /** Reads a list of hashes and reports those that are none or stand twice. */
+  /** Reads a list of hashes and reports malformed and duplicate ones. */
   static List<String> read(ConfigSection section, String key) {
     List<String> hashes = section.texts(key);
     Set<String> seen = new HashSet<>();
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/settings/KnownPeer.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/settings/KnownPeer.java
@@ -8,16 +8,16 @@
 import java.util.Optional;
 
 /**
- * A peer that the settings name.
+ * A peer that is configured in the settings.
  *
- * @param id its name
- * @param dataCentre where it runs
- * @param address where it listens for peers
+ * @param id the id of the peer
+ * @param dataCentre the data centre in which the peer runs
+ * @param address the address on which it listens for peers
  */
 public record KnownPeer(InstanceId id, DataCentre dataCentre, NetworkAddress address) {
 
-  /** Returns the peer as an element of the platform's list. */
-  public ListedProcess listed() {
+  /** Converts the peer to an element of the platform's instance list, in state live. */
+  public ListedProcess toListedProcess() {
     return new ListedProcess(
         id.value(),
         ListedKind.ENTRY,
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/settings/LogLevel.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/settings/LogLevel.java
@@ -1,12 +1,12 @@
 package io.hawthornlb.app.settings;
 
-/** The least serious event that is logged. */
+/** Lowest level at which events are logged. */
 public enum LogLevel {
   /** Events for developers. */
   DEBUG,
-  /** Events in ordinary operation. */
+  /** Events of normal operation. */
   INFO,
-  /** Events that may need an operator. */
+  /** Events that may need attention by an operator. */
   WARNING,
   /** Failures. */
   ERROR
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/settings/NetworkAddress.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/settings/NetworkAddress.java
@@ -7,25 +7,31 @@
 import java.util.Optional;
 
 /**
- * An IP number and a port; processes find each other by IP numbers, without a name service.
+ * IP address and port.
  *
- * @param host the IP number, without brackets
- * @param port the port; 0 lets the machine choose
+ * <p>Host names are not accepted: processes find each other by IP address, without a name service.
+ *
+ * @param host the IP address, without brackets
+ * @param port the port; 0 lets the operating system choose one
  */
 public record NetworkAddress(String host, int port) {
 
-  /** What to tell the writer of a wrong value. */
+  /** Message for a malformed address. */
   public static final String EXPECTED = "expected an IP number and a port, such as 10.0.0.7:8080";
 
   private static final int MAX_PORT = 65_535;
 
-  /** Checks host and port. */
+  /** Validates host and port. */
   public NetworkAddress {
     Checks.isTrue(NetUtil.createByteArrayFromIpAddressString(host) != null, EXPECTED);
     Checks.isTrue(port >= 0 && port <= MAX_PORT, "port must be from 0 to 65535");
   }
 
-  /** Returns the address of a text such as {@code 10.0.0.7:8080} or {@code [::1]:8080}. */
+  /**
+   * Parses a text such as {@code 10.0.0.7:8080} or {@code [::1]:8080}.
+   *
+   * @return the address; empty if the text is malformed
+   */
   public static Optional<NetworkAddress> parse(String text) {
     int colon = text.lastIndexOf(':');
     if (colon <= 0) {
@@ -39,12 +45,12 @@
     }
   }
 
-  /** Returns whether only processes of the same machine reach the address. */
+  /** Returns whether the address is reachable only from the same machine. */
   public boolean isLoopback() {
     return socketAddress().getAddress().isLoopbackAddress();
   }
 
-  /** Returns the address for a socket. */
+  /** Returns this address as a socket address. */
   public InetSocketAddress socketAddress() {
     InetAddress address = NetUtil.createInetAddressFromIpAddressString(host);
     return new InetSocketAddress(address, port);
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/settings/PeerSettings.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/settings/PeerSettings.java
@@ -6,14 +6,14 @@
 import java.util.List;
 
 /**
- * How this instance talks to other entries.
+ * Settings for connections to other entry instances.
  *
- * @param address where it listens for peers
- * @param tls how peers authenticate each other
- * @param probe how often a silent connection is probed
- * @param silence how long a connection may stay without any byte before it is given up
- * @param frameLimit the largest frame in bytes
- * @param known peers to reach before the platform's list has come
+ * @param address the address on which this instance listens for peers
+ * @param tls the settings by which peers authenticate each other
+ * @param probe the interval at which an idle connection is probed
+ * @param silence the time without any received byte after which a connection is closed
+ * @param frameLimit the maximum size of a frame in bytes
+ * @param known the peers to connect to before the platform's instance list arrives
  */
 public record PeerSettings(
     NetworkAddress address,
@@ -23,27 +23,27 @@
     int frameLimit,
     List<KnownPeer> known) {
 
-  /** How often to probe unless the settings say otherwise. */
+  /** Default interval between probes. */
   public static final Duration DEFAULT_PROBE = Duration.ofMillis(500);
 
-  /** When to give a connection up unless the settings say otherwise. */
+  /** Default time without any received byte after which a connection is closed. */
   public static final Duration DEFAULT_SILENCE = Duration.ofMillis(1_500);
 
-  /** The largest frame unless the settings say otherwise. */
+  /** Default maximum size of a frame in bytes. */
   public static final int DEFAULT_FRAME_LIMIT = 4 << 20;
 
-  /** Copies the peers. */
+  /** Creates the settings; the list of peers is copied. */
   public PeerSettings {
     known = List.copyOf(known);
   }
 
-  /** Returns the times and bounds for connections; those without a key have their defaults. */
+  /** Returns the options for connections; options without a settings key have their defaults. */
   public PeerOptions options() {
     return PeerOptions.DEFAULT.withProbes(probe, silence).withFrameLimit(frameLimit);
   }
 
-  /** Returns the peers to reach before the platform's list has come. */
+  /** Returns the peers to connect to before the platform's instance list arrives. */
   public List<ListedProcess> knownProcesses() {
-    return known.stream().map(KnownPeer::listed).toList();
+    return known.stream().map(KnownPeer::toListedProcess).toList();
   }
 }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/settings/PeerSettingsBinding.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/settings/PeerSettingsBinding.java
@@ -11,7 +11,7 @@
 import java.util.Optional;
 import java.util.function.Supplier;
 
-/** Reads the {@code peers} section of the settings. */
+/** Reads and validates the {@code peers} section of the settings. */
 final class PeerSettingsBinding implements ConfigBinding<PeerSettings> {
 
   private static final List<String> KEY_FILES = List.of("certificate", "key", "trust");
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/settings/PlatformSettings.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/settings/PlatformSettings.java
@@ -4,17 +4,17 @@
 import java.time.Duration;
 
 /**
- * Where the platform answers.
+ * Settings for calls to the platform.
  *
- * @param address its address
- * @param timeout how long to wait for an answer
+ * @param address the address of the platform
+ * @param timeout the timeout of one call
  */
 public record PlatformSettings(NetworkAddress address, Duration timeout) {
 
-  /** How long to wait unless the settings say otherwise. */
+  /** Default timeout of one call. */
   public static final Duration DEFAULT_TIMEOUT = Duration.ofSeconds(2);
 
-  /** Returns the base of the platform's calls. */
+  /** Returns the base URI of the platform's HTTP API. */
   public URI uri() {
     return URI.create("http://" + address);
   }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/settings/SettingValues.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/settings/SettingValues.java
@@ -5,10 +5,10 @@
 import java.util.Optional;
 import java.util.regex.Pattern;
 
-/** Values that several sections share. */
+/** Readers for kinds of values that occur in several sections. */
 final class SettingValues {
 
-  /** What to tell the writer of a wrong name. */
+  /** Message for a malformed name. */
   static final String NAME_EXPECTED =
       "expected a name of 1 to 63 lower-case letters, digits, dots and hyphens";
 
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/settings/TextFiles.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/settings/TextFiles.java
@@ -8,12 +8,12 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** Reads text files, with failures as findings. */
+/** Reads text files and reports failures as findings. */
 public final class TextFiles {
 
   private TextFiles() {}
 
-  /** Returns the text of a file in UTF-8, or a finding that says why it cannot be read. */
+  /** Returns the content of a UTF-8 file, or a finding that says why it cannot be read. */
   public static Validation<List<Finding>, String> read(Path file) {
     try {
       return Validation.valid(Files.readString(file));
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/settings/TlsMode.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/settings/TlsMode.java
@@ -1,9 +1,9 @@
 package io.hawthornlb.app.settings;
 
-/** How peers authenticate each other. */
+/** Mode in which peers authenticate each other. */
 public enum TlsMode {
-  /** Both sides show a certificate that chains to the trusted ones. */
+  /** Both sides present a certificate that chains to a trusted certificate. */
   MUTUAL,
-  /** No TLS; allowed on loopback addresses only. */
+  /** No TLS and no authentication; allowed on loopback addresses only. */
   PLAIN
 }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/settings/TlsSettings.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/settings/TlsSettings.java
@@ -6,13 +6,13 @@
 import java.util.Optional;
 
 /**
- * Key files for connections between peers.
+ * TLS settings for connections between peers.
  *
- * @param mode whether TLS is used
+ * @param mode whether peers use mutual TLS or none
  * @param certificate PEM file with the certificate chain of this instance; present if mutual
- * @param key PEM file with its private key in PKCS 8; present if mutual
+ * @param key PEM file with its private key in PKCS 8 format; present if mutual
  * @param trust PEM file with the certificates that peers must chain to; present if mutual
- * @param reload how often the files are looked at for changes
+ * @param reload the interval at which the files are checked for changes
  */
 public record TlsSettings(
     TlsMode mode,
@@ -21,7 +21,7 @@
     Optional<Path> trust,
     Duration reload) {
 
-  /** How often to look at the files unless the settings say otherwise. */
+  /** Default interval at which the files are checked for changes. */
   public static final Duration DEFAULT_RELOAD = Duration.ofSeconds(30);
 
   /** Settings without TLS. */
@@ -29,7 +29,7 @@
       new TlsSettings(
           TlsMode.PLAIN, Optional.empty(), Optional.empty(), Optional.empty(), DEFAULT_RELOAD);
 
-  /** Returns the key files, or empty without TLS. */
+  /** Returns the certificate and key files; empty without TLS. */
   public Optional<TlsFiles> files() {
     return mode == TlsMode.PLAIN
         ? Optional.empty()
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/settings/package-info.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/settings/package-info.java
@@ -1,4 +1,4 @@
-/** Settings of an entry and catalogue files, read from checked YAML. */
+/** Settings of an entry instance and catalogue files: YAML readers, writers and validation. */
 @NullMarked
 package io.hawthornlb.app.settings;
 
--- a/hawthornlb-app/src/test/java/io/hawthornlb/app/settings/CatalogueReaderTest.java
+++ b/hawthornlb-app/src/test/java/io/hawthornlb/app/settings/CatalogueReaderTest.java
@@ -75,7 +75,7 @@
   }
 
   @Test
-  void reportsAllFaultsTogether() {
+  void reportsAllFaultsAtOnce() {
     String yaml =
         """
         services:
@@ -107,7 +107,7 @@
   }
 
   @Property(tries = 100, seed = "20261202")
-  void readsWhatTheWriterWrote(
+  void readsBackWhatTheWriterWrote(
       @ForAll ServiceKind kind,
       @ForAll Repeatability repeatability,
       @ForAll @IntRange(min = 1, max = 100_000) int millis,
--- a/hawthornlb-app/src/test/java/io/hawthornlb/app/settings/EntrySettingsReaderTest.java
+++ b/hawthornlb-app/src/test/java/io/hawthornlb/app/settings/EntrySettingsReaderTest.java
@@ -84,7 +84,7 @@
     assertEquals(folder.resolve("key.pem"), settings.peers().tls().files().orElseThrow().key());
     assertEquals(Duration.ofSeconds(3), settings.peers().options().silence());
     assertEquals(1 << 20, settings.peers().options().frameLimit());
-    assertEquals("[::1]:8181", settings.peers().known().get(0).listed().address());
+    assertEquals("[::1]:8181", settings.peers().known().get(0).toListedProcess().address());
     assertEquals(
         new ClaimSettings(16, Duration.ofSeconds(1), Duration.ofSeconds(4)), settings.claims());
     assertEquals(new LimitSettings(50, Duration.ofSeconds(10)), settings.limits());
@@ -92,16 +92,17 @@
     assertEquals(LogLevel.DEBUG, settings.logLevel());
   }
 
-  // An operator copies the settings of a test machine to a real one and forgets TLS: peers would
-  // then accept orders from anyone in the network. The start must refuse it.
+  // Guards against an open peer port: if an operator copies the settings of a test machine to
+  // production and forgets TLS, peers accept messages from anyone in the network. The reader and
+  // the builder must both reject such settings, so that the instance does not start.
   @Test
-  void refusesPlainPeersOffLoopback() {
+  void rejectsPeersWithoutTlsBeyondLoopback() {
     assertEquals(
         List.of(
             "e.yaml:5: peers.tls.mode: plain is allowed on a loopback address only; use mutual"),
         findings(MINIMAL.replace("address: 127.0.0.1:8181", "address: 10.0.0.7:8181")));
     EntrySettings settings = reader.read(Path.of("e.yaml"), MINIMAL).get();
-    PeerSettings open =
+    PeerSettings peersWithoutTls =
         new PeerSettings(
             new NetworkAddress("10.0.0.7", 1),
             TlsSettings.PLAIN,
@@ -110,12 +111,13 @@
             1,
             List.of());
     EntrySettings.Builder builder =
-        EntrySettings.builder(settings.instance(), settings.http(), open, settings.platform());
+        EntrySettings.builder(
+            settings.instance(), settings.http(), peersWithoutTls, settings.platform());
     assertThrows(IllegalArgumentException.class, builder::build);
   }
 
   @Test
-  void reportsAllFaultsTogether() {
+  void reportsAllFaultsAtOnce() {
     String yaml =
         """
         instance: {id: Entry 1}
@@ -151,7 +153,7 @@
   }
 
   @Test
-  void reportsWhatAMissingSectionLacks() {
+  void reportsMissingKeysOfMissingSections() {
     assertEquals(
         List.of(
             "e.yaml:1: instance.id: missing",
@@ -164,7 +166,7 @@
   }
 
   @Test
-  void reportsContradictions() {
+  void reportsContradictorySettings() {
     assertEquals(
         List.of(
             "e.yaml:4: peers.address: the same as http.address; give peers a port of their own"),
