--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/command/AbstractCatalogueFileCommand.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/command/AbstractCatalogueFileCommand.java
@@ -7,10 +7,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** A command on a catalogue file, which is checked before the entry sees it. */
+/** Base of commands on a catalogue file; the file is validated before it is sent to the entry. */
 abstract class AbstractCatalogueFileCommand extends AbstractEntryCommand {
 
-  /** The media type of catalogues. */
+  /** Media type of catalogues. */
   static final String YAML = "application/yaml";
 
   @Parameter(description = "FILE", required = true)
@@ -20,21 +20,25 @@
     super(environment);
   }
 
-  /** Returns the catalogue file. */
+  /** Returns the path of the catalogue file. */
   protected Path file() {
     if (files.size() != 1) {
-      throw CommandFailedException.wrongCall("name one catalogue file");
+      throw CommandFailedException.usageError("name one catalogue file");
     }
     return Path.of(files.get(0));
   }
 
-  /** Returns the text of the file after a check of it. */
+  /**
+   * Returns the text of the file.
+   *
+   * @throws CommandFailedException if the file is not a valid catalogue
+   */
   protected String checkedText() {
     String yaml = readText(file());
     new CatalogueReader()
         .read(file().toString(), yaml)
         .toEither()
-        .getOrElseThrow(CommandFailedException::wrongInput);
+        .getOrElseThrow(CommandFailedException::invalidInput);
     return yaml;
   }
 }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/command/AbstractCommand.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/command/AbstractCommand.java
@@ -2,7 +2,7 @@
 
 import com.beust.jcommander.Parameter;
 
-/** The parameters that every command has. */
+/** Base of all commands, with the parameters that they share. */
 abstract class AbstractCommand implements Command {
 
   @Parameter(
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/command/AbstractEntryCommand.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/command/AbstractEntryCommand.java
@@ -8,10 +8,10 @@
 import java.util.Optional;
 import org.jspecify.annotations.Nullable;
 
-/** A command that calls an entry. */
+/** Base of commands that call the HTTP API of an entry instance. */
 abstract class AbstractEntryCommand extends AbstractCommand {
 
-  /** The environment variable that holds the key where no file is given. */
+  /** Environment variable that holds the bearer key if no key file is given. */
   static final String KEY_VARIABLE = "HAWTHORNLB_KEY";
 
   private final Map<String, String> environment;
@@ -35,7 +35,7 @@
     }
   }
 
-  /** Does what was asked by calls to the entry. */
+  /** Runs the command with a client of the entry instance. */
   protected abstract void run(EntryClient client, Output output);
 
   private Optional<String> key() {
@@ -46,8 +46,12 @@
     return Optional.of(key);
   }
 
-  /** Returns the text of a file that the call names. */
+  /**
+   * Returns the text of a file that was named on the command line.
+   *
+   * @throws CommandFailedException if the file cannot be read
+   */
   protected static String readText(Path file) {
-    return TextFiles.read(file).toEither().getOrElseThrow(CommandFailedException::wrongInput);
+    return TextFiles.read(file).toEither().getOrElseThrow(CommandFailedException::invalidInput);
   }
 }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/command/AbstractJobCommand.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/command/AbstractJobCommand.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** A command on one job. */
+/** Base of commands on one job. */
 abstract class AbstractJobCommand extends AbstractEntryCommand {
 
   @Parameter(description = "JOB", required = true)
@@ -17,10 +17,10 @@
     super(environment);
   }
 
-  /** Returns the path of the job. */
+  /** Returns the HTTP path of the job. */
   protected String path() {
     if (jobs.size() != 1) {
-      throw CommandFailedException.wrongCall("name one job");
+      throw CommandFailedException.usageError("name one job");
     }
     return "/v1/jobs/" + URLEncoder.encode(jobs.get(0), StandardCharsets.UTF_8);
   }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/command/AbstractSettingsCommand.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/command/AbstractSettingsCommand.java
@@ -5,13 +5,13 @@
 import java.util.Objects;
 import org.jspecify.annotations.Nullable;
 
-/** A command that reads a settings file. */
+/** Base of commands that read a settings file. */
 abstract class AbstractSettingsCommand extends AbstractCommand {
 
   @Parameter(names = "--settings", required = true, description = "YAML file with the settings")
   private @Nullable Path settings;
 
-  /** Returns the settings file. */
+  /** Returns the path of the settings file. */
   protected Path settings() {
     return Objects.requireNonNull(settings);
   }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/command/BoundCommand.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/command/BoundCommand.java
@@ -16,7 +16,11 @@
 import java.util.Objects;
 import org.jspecify.annotations.Nullable;
 
-/** Tells the worth that no policy can exceed on a day. */
+/**
+ * Prints an upper bound of the worth that any scheduling policy can achieve on a day.
+ *
+ * <p>The output has the bound of each demand and the bound of all demands as a share of the total.
+ */
 @Parameters(
     commandNames = "bound",
     commandDescription = "Tell the worth that no policy can exceed on a day")
@@ -33,7 +37,7 @@
     try {
       demands = bound.of(SettingsReader.read(Objects.requireNonNull(day), BoundDay.class));
     } catch (InvalidSettingsException e) {
-      throw CommandFailedException.wrongCall(e.getMessage());
+      throw CommandFailedException.usageError(e.getMessage());
     }
     if (wantsJson()) {
       output.json(json(demands));
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/command/CatalogueCheckCommand.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/command/CatalogueCheckCommand.java
@@ -5,7 +5,7 @@
 import io.micronaut.http.HttpRequest;
 import java.util.Map;
 
-/** Checks a catalogue file. */
+/** Validates a catalogue file locally and, on request, by an entry instance. */
 @Parameters(
     commandNames = "check",
     commandDescription = "Check a catalogue file and report all findings; nothing is changed")
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/command/CatalogueHistoryCommand.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/command/CatalogueHistoryCommand.java
@@ -5,7 +5,7 @@
 import io.micronaut.http.HttpRequest;
 import java.util.Map;
 
-/** Lists the edits of the catalogue. */
+/** Lists the edits of the catalogue that are still retained. */
 @Parameters(
     commandNames = "history",
     commandDescription = "List the edits of the catalogue that are still retained")
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/command/CataloguePutCommand.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/command/CataloguePutCommand.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import org.jspecify.annotations.Nullable;
 
-/** Puts an edited catalogue in force. */
+/** Replaces the catalogue in force by an edited one, unless it has changed in between. */
 @Parameters(
     commandNames = "put",
     commandDescription =
@@ -40,24 +40,24 @@
     MutableHttpRequest<String> request =
         HttpRequest.PUT("/v1/catalogue", yaml)
             .contentType(YAML)
-            .header(HttpHeaders.IF_MATCH, Long.toString(restsOn(yaml)))
+            .header(HttpHeaders.IF_MATCH, Long.toString(baseRevision(yaml)))
             .header(AUTHOR_HEADER, authorName());
-    JsonNode answer = client.exchange(request).json();
+    JsonNode response = client.exchange(request).json();
     if (wantsJson()) {
-      output.json(answer);
+      output.json(response);
     } else {
-      output.line("in force as revision " + answer.path("revision").asLong());
+      output.line("in force as revision " + response.path("revision").asLong());
     }
   }
 
-  private long restsOn(String yaml) {
+  private long baseRevision(String yaml) {
     if (revision != null) {
       return revision;
     }
     return RevisionLine.find(yaml)
         .orElseThrow(
             () ->
-                CommandFailedException.wrongCall(
+                CommandFailedException.usageError(
                     "give --revision, or edit the output of catalogue show, which names it"));
   }
 
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/command/CatalogueShowCommand.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/command/CatalogueShowCommand.java
@@ -5,7 +5,7 @@
 import io.micronaut.http.HttpRequest;
 import java.util.Map;
 
-/** Shows the catalogue in force. */
+/** Prints the catalogue in force, with its revision in a comment. */
 @Parameters(
     commandNames = "show",
     commandDescription = "Show the catalogue in force, ready to be edited and put back")
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/command/Command.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/command/Command.java
@@ -1,18 +1,18 @@
 package io.hawthornlb.app.command;
 
-/** One command of the program; its parameters are fields for JCommander. */
+/** A command of the program; JCommander sets its fields from the command-line parameters. */
 public interface Command {
 
-  /** Returns whether the call asks for help instead. */
+  /** Returns whether the user asks for help; the command is not run in that case. */
   boolean wantsHelp();
 
-  /** Returns whether results and faults are written as JSON. */
+  /** Returns whether results and errors are written as JSON. */
   boolean wantsJson();
 
   /**
-   * Does what was asked.
+   * Runs the command.
    *
-   * @throws CommandFailedException if it did not
+   * @throws CommandFailedException if the command fails or its input is invalid
    */
   void run(Output output);
 }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/command/CommandGroup.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/command/CommandGroup.java
@@ -2,7 +2,7 @@
 
 import com.beust.jcommander.Parameter;
 
-/** The parameters of the program itself and of commands that only hold further commands. */
+/** Parameters of the program itself and of commands that only group subcommands. */
 final class CommandGroup {
 
   @Parameter(
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/command/CommandLine.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/command/CommandLine.java
@@ -5,7 +5,7 @@
 import java.util.Arrays;
 import java.util.Map;
 
-/** Finds the command that the arguments name and runs it. */
+/** Parses the command-line arguments and runs the command that they name. */
 public final class CommandLine {
 
   private static final System.Logger LOG = System.getLogger(CommandLine.class.getName());
@@ -19,9 +19,9 @@
   /**
    * Creates a command line.
    *
-   * @param launchers what commands start
-   * @param environment the variables of the process
-   * @param output takes results and faults
+   * @param launchers the functions that start an entry instance, a stand-in or the load tool
+   * @param environment the environment variables of the process
+   * @param output the output for results and errors
    */
   public CommandLine(Launchers launchers, Map<String, String> environment, Output output) {
     this.launchers = launchers;
@@ -29,26 +29,26 @@
     this.output = output;
   }
 
-  /** Runs a command and returns how it ended. */
+  /** Runs the command and returns its exit code. */
   public ExitCode run(String... arguments) {
     JCommander root = CommandTree.create(launchers, environment);
     boolean asJson = Arrays.asList(arguments).contains("--json");
     try {
       root.parse(arguments);
     } catch (ParameterException e) {
-      String hint = e.getMessage() + "; see " + path(root) + " --help";
-      output.failure(CommandFailedException.wrongCall(hint), asJson);
-      return ExitCode.WRONG_CALL;
+      String hint = e.getMessage() + "; see " + commandPath(root) + " --help";
+      output.failure(CommandFailedException.usageError(hint), asJson);
+      return ExitCode.USAGE_ERROR;
     }
-    JCommander named = named(root);
-    named.setProgramName(path(root));
-    Object target = named.getObjects().get(0);
+    JCommander parsed = parsedCommand(root);
+    parsed.setProgramName(commandPath(root));
+    Object target = parsed.getObjects().get(0);
     if (target instanceof Command command) {
-      return command.wantsHelp() ? help(named) : run(command);
+      return command.wantsHelp() ? help(parsed) : run(command);
     }
     boolean wantsHelp = target instanceof CommandGroup group && group.wantsHelp();
-    help(named);
-    return wantsHelp ? ExitCode.OK : ExitCode.WRONG_CALL;
+    help(parsed);
+    return wantsHelp ? ExitCode.OK : ExitCode.USAGE_ERROR;
   }
 
   private ExitCode run(Command command) {
@@ -59,7 +59,7 @@
       output.failure(e, command.wantsJson());
       return e.exitCode();
     } catch (RuntimeException e) {
-      LOG.log(System.Logger.Level.ERROR, "command: failed", e);
+      LOG.log(System.Logger.Level.ERROR, "command: unexpected error", e);
       return ExitCode.FAILED;
     }
   }
@@ -72,8 +72,8 @@
     return ExitCode.OK;
   }
 
-  /** Returns the innermost command that the arguments name. */
-  private static JCommander named(JCommander root) {
+  /** Returns the innermost command that was parsed. */
+  private static JCommander parsedCommand(JCommander root) {
     JCommander command = root;
     while (command.getParsedCommand() != null) {
       command = command.getCommands().get(command.getParsedCommand());
@@ -81,8 +81,8 @@
     return command;
   }
 
-  /** Returns the program and the names of commands as far as the arguments were understood. */
-  private static String path(JCommander root) {
+  /** Returns the program name followed by the names of the commands that were parsed. */
+  private static String commandPath(JCommander root) {
     StringBuilder path = new StringBuilder(CommandTree.PROGRAM);
     JCommander command = root;
     while (command.getParsedCommand() != null) {
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/command/CommandTree.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/command/CommandTree.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** All commands by their names. */
+/** Builds the tree of all commands and command groups. */
 final class CommandTree {
 
   static final String PROGRAM = "hawthornlb";
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/command/EntryClient.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/command/EntryClient.java
@@ -11,12 +11,12 @@
 import java.time.Duration;
 import java.util.Optional;
 
-/** Calls one entry as an operator or a caller. */
+/** HTTP client by which commands call one entry instance, with the key of an operator or caller. */
 final class EntryClient implements AutoCloseable {
 
   private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(5);
   private static final Duration READ_TIMEOUT = Duration.ofSeconds(60);
-  private static final int MAX_ANSWER_BYTES = 256 << 20;
+  private static final int MAX_RESPONSE_BYTES = 256 << 20;
   private static final Argument<byte[]> BYTES = Argument.of(byte[].class);
 
   private final URI entry;
@@ -29,32 +29,32 @@
     DefaultHttpClientConfiguration configuration = new DefaultHttpClientConfiguration();
     configuration.setConnectTimeout(CONNECT_TIMEOUT);
     configuration.setReadTimeout(READ_TIMEOUT);
-    configuration.setMaxContentLength(MAX_ANSWER_BYTES);
+    configuration.setMaxContentLength(MAX_RESPONSE_BYTES);
     configuration.setExceptionOnErrorStatus(false);
     configuration.setNumOfThreads(1);
     try {
       this.client = HttpClient.create(entry.toURL(), configuration);
     } catch (MalformedURLException | IllegalArgumentException e) {
-      throw CommandFailedException.wrongCall(
-          "--entry " + entry + " is no URL; give one such as http://127.0.0.1:8080");
+      throw CommandFailedException.usageError(
+          "--entry " + entry + " is not a URL; use one such as http://127.0.0.1:8080");
     }
   }
 
   /**
-   * Returns the answer of the entry.
+   * Sends a request and returns the response of the entry.
    *
-   * @throws CommandFailedException if there is none, or it is a refusal
+   * @throws CommandFailedException if no response arrives or the entry refuses the request
    */
-  EntryAnswer exchange(MutableHttpRequest<?> request) {
+  EntryResponse exchange(MutableHttpRequest<?> request) {
     key.ifPresent(request::bearerAuth);
-    EntryAnswer answer = EntryAnswer.of(answer(request));
-    if (answer.isRefusal()) {
-      throw ProblemReader.read(answer);
+    EntryResponse response = EntryResponse.of(send(request));
+    if (response.isRefusal()) {
+      throw ProblemReader.read(response);
     }
-    return answer;
+    return response;
   }
 
-  private HttpResponse<byte[]> answer(MutableHttpRequest<?> request) {
+  private HttpResponse<byte[]> send(MutableHttpRequest<?> request) {
     try {
       return client.toBlocking().exchange(request, BYTES, BYTES);
     } catch (HttpClientException e) {
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/command/EntryCommand.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/command/EntryCommand.java
@@ -5,7 +5,7 @@
 import io.hawthornlb.app.settings.EntrySettings;
 import io.hawthornlb.app.settings.EntrySettingsReader;
 
-/** Runs an entry instance. */
+/** Runs an entry instance in this process. */
 @Parameters(
     commandNames = "entry",
     commandDescription = "Run an entry instance until it is told to end (SIGTERM)")
@@ -23,7 +23,7 @@
         new EntrySettingsReader()
             .read(settings())
             .toEither()
-            .getOrElseThrow(CommandFailedException::wrongInput);
+            .getOrElseThrow(CommandFailedException::invalidInput);
     LogSetup.configure(settings.logLevel(), System.err);
     launcher.run(settings);
   }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/command/EntryAnswer.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/command/EntryResponse.java
@@ -8,39 +8,40 @@
 import java.util.Optional;
 
 /**
- * An answer of an entry.
+ * HTTP response of an entry instance.
  *
  * @param status the HTTP status
  * @param text the body as text
- * @param nextCursor where the next page begins, if there is one
+ * @param nextCursor the cursor of the next page, if there is one
  */
-record EntryAnswer(int status, String text, Optional<String> nextCursor) {
+record EntryResponse(int status, String text, Optional<String> nextCursor) {
 
   private static final ObjectMapper MAPPER = new ObjectMapper();
   private static final String CURSOR_HEADER = "Next-Cursor";
-  private static final int FIRST_REFUSAL = 300;
+  private static final int FIRST_UNSUCCESSFUL_STATUS = 300;
 
-  static EntryAnswer of(HttpResponse<byte[]> response) {
+  static EntryResponse of(HttpResponse<byte[]> response) {
     String text =
         response.getBody().map(bytes -> new String(bytes, StandardCharsets.UTF_8)).orElse("");
     Optional<String> cursor = Optional.ofNullable(response.getHeaders().get(CURSOR_HEADER));
-    return new EntryAnswer(response.code(), text, cursor);
+    return new EntryResponse(response.code(), text, cursor);
   }
 
   boolean isRefusal() {
-    return status >= FIRST_REFUSAL;
+    return status >= FIRST_UNSUCCESSFUL_STATUS;
   }
 
   /**
    * Returns the body as JSON.
    *
-   * @throws CommandFailedException if it is none
+   * @throws CommandFailedException if the body is not JSON
    */
   JsonNode json() {
     try {
       return MAPPER.readTree(text);
     } catch (IOException e) {
-      throw CommandFailedException.failed("the answer is no JSON; is the address an entry's?");
+      throw CommandFailedException.failed(
+          "the response is not JSON; check that --entry is the address of an entry");
     }
   }
 }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/command/ExitCode.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/command/ExitCode.java
@@ -1,13 +1,13 @@
 package io.hawthornlb.app.command;
 
-/** How a command ended. */
+/** Exit codes of the program. */
 public enum ExitCode {
-  /** It did what was asked. */
+  /** The command succeeded. */
   OK(0),
-  /** It failed; calling it again may help. */
+  /** The command failed; a retry may succeed. */
   FAILED(1),
-  /** The call, the settings or a file given to it are wrong. */
-  WRONG_CALL(2);
+  /** The arguments, the settings or an input file are invalid. */
+  USAGE_ERROR(2);
 
   private final int code;
 
@@ -15,7 +15,7 @@
     this.code = code;
   }
 
-  /** Returns the number for the operating system. */
+  /** Returns the exit status of the process. */
   public int code() {
     return code;
   }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/command/ExplainCommand.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/command/ExplainCommand.java
@@ -17,13 +17,13 @@
 import java.util.Set;
 import org.jspecify.annotations.Nullable;
 
-/** Tells the way of one request, job or item from the logs of instances. */
+/** Prints what happened to one request, job or item, according to the logs of instances. */
 @Parameters(
     commandNames = "explain",
     commandDescription = "Tell the way of a request, job or item from the logs of instances")
 final class ExplainCommand extends AbstractCommand {
 
-  private static final Set<String> SHOWN_APART = Set.of("time", "part", "event");
+  private static final Set<String> HEADER_FIELDS = Set.of("time", "part", "event");
 
   @Parameter(names = "--id", required = true, description = "Id of a request, job or item")
   private @Nullable String id;
@@ -39,10 +39,10 @@
     } catch (UncheckedIOException e) {
       throw CommandFailedException.failed(String.valueOf(e.getMessage()));
     }
-    String wanted = Objects.requireNonNull(id);
-    List<LogEvent> lines = Explanation.of(wanted, reader.events());
+    String searchedId = Objects.requireNonNull(id);
+    List<LogEvent> lines = Explanation.of(searchedId, reader.events());
     if (lines.isEmpty()) {
-      throw CommandFailedException.failed("No line names " + wanted + ".");
+      throw CommandFailedException.failed("No log line names " + searchedId + ".");
     }
     for (LogEvent line : lines) {
       if (wantsJson()) {
@@ -55,7 +55,8 @@
       }
     }
     if (!wantsJson()) {
-      output.line(reader.foreign() + " lines of other programs or torn ones were passed over.");
+      output.line(
+          reader.skippedLines() + " lines were skipped: truncated or written by other programs.");
     }
   }
 
@@ -65,7 +66,7 @@
     Iterator<Map.Entry<String, JsonNode>> fields = line.fields().fields();
     while (fields.hasNext()) {
       Map.Entry<String, JsonNode> field = fields.next();
-      if (!SHOWN_APART.contains(field.getKey())) {
+      if (!HEADER_FIELDS.contains(field.getKey())) {
         text.append(' ').append(field.getKey()).append('=').append(field.getValue().asText());
       }
     }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/command/JobCancelCommand.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/command/JobCancelCommand.java
@@ -17,11 +17,11 @@
 
   @Override
   protected void run(EntryClient client, Output output) {
-    JsonNode answer = client.exchange(HttpRequest.POST(path() + "/cancel", "")).json();
+    JsonNode response = client.exchange(HttpRequest.POST(path() + "/cancel", "")).json();
     if (wantsJson()) {
-      output.json(answer);
+      output.json(response);
     } else {
-      output.line(answer.path("id").asText() + " " + answer.path("status").asText("cancelled"));
+      output.line(response.path("id").asText() + " " + response.path("status").asText("cancelled"));
     }
   }
 }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/command/JobResultsCommand.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/command/JobResultsCommand.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Writes the results of a job. */
+/** Prints the results that a job has so far, and fetches all pages. */
 @Parameters(
     commandNames = "results",
     commandDescription = "Write the results that a job has so far, one JSON object a line")
@@ -27,8 +27,8 @@
   }
 
   private static Optional<String> writePage(EntryClient client, String page, Output output) {
-    EntryAnswer answer = client.exchange(HttpRequest.GET(page));
-    output.text(answer.text());
-    return answer.nextCursor();
+    EntryResponse response = client.exchange(HttpRequest.GET(page));
+    output.text(response.text());
+    return response.nextCursor();
   }
 }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/command/JobStatusCommand.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/command/JobStatusCommand.java
@@ -5,7 +5,7 @@
 import io.micronaut.http.HttpRequest;
 import java.util.Map;
 
-/** Shows where a job stands. */
+/** Prints the state of a job and the counts of its items. */
 @Parameters(commandNames = "status", commandDescription = "Show where a job stands")
 final class JobStatusCommand extends AbstractJobCommand {
 
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/command/JobSubmitCommand.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/command/JobSubmitCommand.java
@@ -13,7 +13,7 @@
 import java.util.Map;
 import org.jspecify.annotations.Nullable;
 
-/** Submits a job. */
+/** Submits a file of items as a batch job. */
 @Parameters(
     commandNames = "submit",
     commandDescription = "Submit a file of items, one JSON object a line, as a job")
@@ -45,7 +45,7 @@
   @Override
   protected void run(EntryClient client, Output output) {
     if (files.size() != 1) {
-      throw CommandFailedException.wrongCall("name one file of items");
+      throw CommandFailedException.usageError("name one file of items");
     }
     String items = readText(Path.of(files.get(0)));
     MutableHttpRequest<String> request =
@@ -53,11 +53,11 @@
             .contentType(NDJSON)
             .header(KEY_HEADER, idempotencyKey)
             .header(DUE_HEADER, dueTime().toString());
-    JsonNode answer = client.exchange(request).json();
+    JsonNode response = client.exchange(request).json();
     if (wantsJson()) {
-      output.json(answer);
+      output.json(response);
     } else {
-      output.line("accepted as job " + answer.path("id").asText());
+      output.line("accepted as job " + response.path("id").asText());
     }
   }
 
@@ -65,8 +65,8 @@
     try {
       return Instant.parse(due);
     } catch (DateTimeParseException e) {
-      throw CommandFailedException.wrongCall(
-          "--due " + due + " is no time; give one such as 2026-12-02T18:00:00Z");
+      throw CommandFailedException.usageError(
+          "--due " + due + " is not a time; use a form such as 2026-12-02T18:00:00Z");
     }
   }
 }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/command/KeyHashCommand.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/command/KeyHashCommand.java
@@ -8,7 +8,7 @@
 import java.util.Objects;
 import org.jspecify.annotations.Nullable;
 
-/** Hashes a key for settings and catalogue. */
+/** Prints the hash of a bearer key, as settings and catalogue files contain it. */
 @Parameters(
     commandNames = "hash",
     commandDescription = "Write the hash of a key as it stands in settings and catalogue")
@@ -22,7 +22,7 @@
     String key =
         TextFiles.read(Objects.requireNonNull(keyFile))
             .toEither()
-            .getOrElseThrow(CommandFailedException::wrongInput);
+            .getOrElseThrow(CommandFailedException::invalidInput);
     String hash = KeyHashes.hash(key.strip());
     if (wantsJson()) {
       output.json(Output.object().put("hash", hash));
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/command/Launchers.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/command/Launchers.java
@@ -1,7 +1,7 @@
 package io.hawthornlb.app.command;
 
 /**
- * What the command line starts.
+ * Functions by which commands start the other parts of the program.
  *
  * @param entry runs an entry instance
  * @param standin runs a stand-in
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/command/LoadCommand.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/command/LoadCommand.java
@@ -7,7 +7,7 @@
 import java.util.Objects;
 import org.jspecify.annotations.Nullable;
 
-/** Puts load on a fleet and checks every answer. */
+/** Generates load on a fleet and checks every response. */
 @Parameters(
     commandNames = "load",
     commandDescription = "Put load on a fleet, check every answer and write reports")
@@ -27,14 +27,14 @@
 
   @Override
   public void run(Output output) {
-    boolean right;
+    boolean allCorrect;
     try {
-      right = launcher.run(Objects.requireNonNull(scenario), Objects.requireNonNull(out));
+      allCorrect = launcher.run(Objects.requireNonNull(scenario), Objects.requireNonNull(out));
     } catch (InvalidSettingsException e) {
-      throw CommandFailedException.wrongCall(e.getMessage());
+      throw CommandFailedException.usageError(e.getMessage());
     }
-    if (!right) {
-      throw CommandFailedException.failed("some answers were wrong or missing; see " + out);
+    if (!allCorrect) {
+      throw CommandFailedException.failed("some responses were wrong or missing; see " + out);
     }
     if (wantsJson()) {
       output.json(Output.object().put("out", String.valueOf(out)));
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/command/Output.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/command/Output.java
@@ -9,18 +9,18 @@
 import java.io.PrintStream;
 import java.util.List;
 
-/** What a command writes: results to one stream, faults to the other. */
+/** Output of a command: results and errors go to separate streams. */
 public final class Output {
 
   private static final ObjectMapper MAPPER = new ObjectMapper();
 
   private final PrintStream results;
-  private final PrintStream faults;
+  private final PrintStream errors;
 
-  /** Creates an output on two streams. */
-  public Output(PrintStream results, PrintStream faults) {
+  /** Creates an output that writes to the given streams. */
+  public Output(PrintStream results, PrintStream errors) {
     this.results = results;
-    this.faults = faults;
+    this.errors = errors;
   }
 
   /** Returns an empty JSON object. */
@@ -28,12 +28,12 @@
     return MAPPER.createObjectNode();
   }
 
-  /** Writes a line of the result. */
+  /** Writes one line of the result. */
   public void line(String text) {
     results.println(text);
   }
 
-  /** Writes text of the result as it is. */
+  /** Writes text of the result without a line break after it. */
   public void text(String text) {
     results.print(text);
     results.flush();
@@ -44,11 +44,15 @@
     try {
       results.println(MAPPER.writeValueAsString(value));
     } catch (JsonProcessingException e) {
-      throw new IllegalStateException("a JSON tree can always be written", e);
+      throw new IllegalStateException("cannot serialize a JSON tree", e);
     }
   }
 
-  /** Writes why a command did not do what was asked. */
+  /**
+   * Writes the reason of a failure.
+   *
+   * <p>JSON is written to the stream of results, text to the stream of errors.
+   */
   public void failure(CommandFailedException failure, boolean asJson) {
     if (asJson) {
       ObjectNode document = object();
@@ -57,8 +61,8 @@
       json(document);
       return;
     }
-    failure.findings().forEach(finding -> faults.println(finding.text()));
-    faults.println(failure.getMessage());
+    failure.findings().forEach(finding -> errors.println(finding.text()));
+    errors.println(failure.getMessage());
   }
 
   private static ArrayNode findings(List<Finding> findings) {
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/command/ProblemReader.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/command/ProblemReader.java
@@ -7,21 +7,22 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Turns a refusal of an entry into the failure of a command. */
+/** Converts a problem document of an entry instance to the exception of the command. */
 final class ProblemReader {
 
   private static final ObjectMapper MAPPER = new ObjectMapper();
 
   private ProblemReader() {}
 
-  static CommandFailedException read(EntryAnswer answer) {
-    JsonNode problem = parse(answer.text());
+  static CommandFailedException read(EntryResponse response) {
+    JsonNode problem = parse(response.text());
     List<Finding> findings = findings(problem.path("findings"));
     if (!findings.isEmpty()) {
-      return CommandFailedException.wrongInput(findings);
+      return CommandFailedException.invalidInput(findings);
     }
     String detail = problem.path("detail").asText("no reason given");
-    return CommandFailedException.failed("refused with status " + answer.status() + ": " + detail);
+    return CommandFailedException.failed(
+        "refused with status " + response.status() + ": " + detail);
   }
 
   private static JsonNode parse(String text) {
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/command/RevisionLine.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/command/RevisionLine.java
@@ -4,7 +4,12 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** The comment by which a shown catalogue remembers the revision that an edit of it rests on. */
+/**
+ * The comment line that holds the revision of a printed catalogue.
+ *
+ * <p>An edited copy of the text keeps the line. The put command sends the revision along, so that
+ * the entry instance can reject the edit if the catalogue has changed since then.
+ */
 final class RevisionLine {
 
   private static final Pattern PATTERN =
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/command/SettingsCheckCommand.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/command/SettingsCheckCommand.java
@@ -5,7 +5,7 @@
 import io.hawthornlb.app.settings.EntrySettings;
 import io.hawthornlb.app.settings.EntrySettingsReader;
 
-/** Checks a settings file without starting anything. */
+/** Validates a settings file without starting an instance. */
 @Parameters(
     commandNames = "check",
     commandDescription = "Check the settings of an entry and report all findings")
@@ -17,7 +17,7 @@
         new EntrySettingsReader()
             .read(settings())
             .toEither()
-            .getOrElseThrow(CommandFailedException::wrongInput);
+            .getOrElseThrow(CommandFailedException::invalidInput);
     if (wantsJson()) {
       ObjectNode document = Output.object();
       document.put("instance", checked.instance().id().value());
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/command/ShortUsageFormatter.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/command/ShortUsageFormatter.java
@@ -4,7 +4,7 @@
 import com.beust.jcommander.JCommander;
 import java.util.Map;
 
-/** Lists commands with one line each; their parameters stand in their own help. */
+/** Formats help with one line per subcommand; only the help of a command lists its parameters. */
 final class ShortUsageFormatter extends DefaultUsageFormatter {
 
   private static final int NAME_WIDTH = 22;
@@ -24,11 +24,11 @@
   }
 
   private static void append(StringBuilder out, JCommander parent, String path) {
-    for (Map.Entry<String, JCommander> named : parent.getCommands().entrySet()) {
-      String name = path + named.getKey();
-      JCommander command = named.getValue();
+    for (Map.Entry<String, JCommander> entry : parent.getCommands().entrySet()) {
+      String name = path + entry.getKey();
+      JCommander command = entry.getValue();
       if (command.getCommands().isEmpty()) {
-        String description = parent.getUsageFormatter().getCommandDescription(named.getKey());
+        String description = parent.getUsageFormatter().getCommandDescription(entry.getKey());
         String padding = " ".repeat(Math.max(1, NAME_WIDTH - name.length()));
         out.append("    ").append(name).append(padding).append(description).append('\n');
       } else {
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/command/StandinCommand.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/command/StandinCommand.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** Runs a stand-in for tests and demonstrations. */
+/** Runs a stand-in of another process, for tests and demonstrations. */
 @Parameters(
     commandNames = "standin",
     commandDescription = "Run a stand-in of the platform, an engine or a plain service")
@@ -29,13 +29,13 @@
   @Override
   public void run(Output output) {
     if (kinds.size() != 1 || !KINDS.contains(kinds.get(0))) {
-      throw CommandFailedException.wrongCall("name one of platform, engine or service");
+      throw CommandFailedException.usageError("name one of platform, engine or service");
     }
     LogSetup.configure(LogLevel.INFO, System.err);
     try {
       launcher.run(kinds.get(0), settings());
     } catch (InvalidSettingsException e) {
-      throw CommandFailedException.wrongCall(e.getMessage());
+      throw CommandFailedException.usageError(e.getMessage());
     }
   }
 }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/command/package-info.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/command/package-info.java
@@ -1,4 +1,4 @@
-/** The command line. */
+/** The command-line interface: argument parsing, commands and their output. */
 @NullMarked
 package io.hawthornlb.app.command;
 
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/explain/Explanation.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/explain/Explanation.java
@@ -9,16 +9,18 @@
 import java.util.Set;
 
 /**
- * The lines that tell the way of one id: those that name it, and what the same instances came to
- * believe meanwhile.
+ * Selects the log lines that explain what happened to one request, job or item.
+ *
+ * <p>These are the lines that name the id, and lines of the same instances from about the same time
+ * that report a change of the instance's state or of an endpoint that the id's own lines name.
  */
 public final class Explanation {
 
-  /** Time before and after an id's own lines in which beliefs are told. */
-  private static final Duration AROUND = Duration.ofSeconds(2);
+  /** Time before the first and after the last line of an id in which context lines are included. */
+  private static final Duration CONTEXT_WINDOW = Duration.ofSeconds(2);
 
-  /** Events that change what an instance believes or is. */
-  private static final Set<String> BELIEFS =
+  /** Events that report a change of an instance's state or of its view of the fleet. */
+  private static final Set<String> STATE_EVENTS =
       Set.of(
           "process started",
           "process stopping",
@@ -35,24 +37,24 @@
 
   private Explanation() {}
 
-  /** Returns the lines about an id in the order of their time; empty if no line names it. */
+  /** Returns the lines that explain an id, ordered by time; empty if no line names the id. */
   public static List<LogEvent> of(String id, List<LogEvent> events) {
-    List<LogEvent> own = events.stream().filter(event -> event.names(id)).toList();
-    if (own.isEmpty()) {
+    List<LogEvent> ownLines = events.stream().filter(event -> event.concerns(id)).toList();
+    if (ownLines.isEmpty()) {
       return List.of();
     }
     Set<String> sources = new HashSet<>();
     Set<String> endpoints = new HashSet<>();
-    for (LogEvent event : own) {
+    for (LogEvent event : ownLines) {
       sources.add(event.source());
       endpoints.add(event.fields().path("endpoint").asText());
     }
-    Instant from = time(own, true).minus(AROUND);
-    Instant to = time(own, false).plus(AROUND);
-    List<LogEvent> lines = new ArrayList<>(own);
+    Instant from = time(ownLines, true).minus(CONTEXT_WINDOW);
+    Instant to = time(ownLines, false).plus(CONTEXT_WINDOW);
+    List<LogEvent> lines = new ArrayList<>(ownLines);
     for (LogEvent event : events) {
       boolean near = !event.time().isBefore(from) && !event.time().isAfter(to);
-      if (near && sources.contains(event.source()) && tells(event, endpoints)) {
+      if (near && sources.contains(event.source()) && isContext(event, endpoints)) {
         lines.add(event);
       }
     }
@@ -60,10 +62,10 @@
     return lines;
   }
 
-  private static boolean tells(LogEvent event, Set<String> endpoints) {
+  private static boolean isContext(LogEvent event, Set<String> endpoints) {
     boolean aboutEndpoint = event.fields().path("part").asText().equals("endpoint");
     String endpoint = event.fields().path("endpoint").asText();
-    return BELIEFS.contains(event.name())
+    return STATE_EVENTS.contains(event.name())
         || (aboutEndpoint && !endpoint.isEmpty() && endpoints.contains(endpoint));
   }
 
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/explain/LogEvent.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/explain/LogEvent.java
@@ -4,21 +4,21 @@
 import java.time.Instant;
 
 /**
- * A line of an instance's log.
+ * One structured line of an instance's log.
  *
- * @param source file that it stands in, or what stands before the line in a merged file
- * @param time when it was written
- * @param fields all fields
+ * @param source the name of the log file, or in a merged file the word before the JSON object
+ * @param time the time at which the line was written
+ * @param fields all fields of the line
  */
 public record LogEvent(String source, Instant time, JsonNode fields) {
 
-  /** Returns the name of the event with its part. */
+  /** Returns the part and the name of the event, separated by a space. */
   public String name() {
     return fields.path("part").asText() + " " + fields.path("event").asText();
   }
 
-  /** Returns whether the line names an id as that of a request, job or item. */
-  boolean names(String id) {
+  /** Returns whether the line has the given id as its {@code id} or {@code job} field. */
+  boolean concerns(String id) {
     return fields.path("id").asText().equals(id) || fields.path("job").asText().equals(id);
   }
 }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/explain/package-info.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/explain/package-info.java
@@ -1,4 +1,4 @@
-/** Finds the way of one request, job or item through the logs of several instances. */
+/** Explains from the logs of several instances what happened to one request, job or item. */
 @NullMarked
 package io.hawthornlb.app.explain;
 
--- a/hawthornlb-app/src/test/java/io/hawthornlb/app/command/BoundCommandTest.java
+++ b/hawthornlb-app/src/test/java/io/hawthornlb/app/command/BoundCommandTest.java
@@ -29,7 +29,7 @@
   @TempDir private Path folder;
 
   @Test
-  void tellsTheBoundOfEachDemandAndOfAll() throws IOException {
+  void printsTheBoundOfEachDemandAndOfAll() throws IOException {
     Path day = Files.writeString(folder.resolve("day.yaml"), DAY);
     assertEquals(ExitCode.OK, cli.run("bound", "--day", day.toString()));
     assertEquals(
@@ -41,10 +41,10 @@
   }
 
   @Test
-  void refusesAFaultyDayWithItsPlace() throws IOException {
+  void rejectsAnInvalidDayFileAndNamesTheFault() throws IOException {
     Path day = Files.writeString(folder.resolve("day.yaml"), DAY + "slotz: 3\n");
-    assertEquals(ExitCode.WRONG_CALL, cli.run("bound", "--day", day.toString()));
-    assertTrue(cli.faults().contains("day.yaml:"), cli.faults());
-    assertTrue(cli.faults().contains("slotz"), cli.faults());
+    assertEquals(ExitCode.USAGE_ERROR, cli.run("bound", "--day", day.toString()));
+    assertTrue(cli.errors().contains("day.yaml:"), cli.errors());
+    assertTrue(cli.errors().contains("slotz"), cli.errors());
   }
 }
--- a/hawthornlb-app/src/test/java/io/hawthornlb/app/command/CommandLineFixture.java
+++ b/hawthornlb-app/src/test/java/io/hawthornlb/app/command/CommandLineFixture.java
@@ -9,17 +9,17 @@
 import java.util.List;
 import java.util.Map;
 
-/** A command line whose launchers only note what they were asked. */
+/** A command line whose launchers record their calls and start nothing. */
 final class CommandLineFixture {
 
   private final ByteArrayOutputStream results = new ByteArrayOutputStream();
-  private final ByteArrayOutputStream faults = new ByteArrayOutputStream();
+  private final ByteArrayOutputStream errors = new ByteArrayOutputStream();
   private final List<String> launched = new ArrayList<>();
   private final CommandLine commandLine;
 
   CommandLineFixture(Map<String, String> environment) {
     Launchers launchers = new Launchers(this::entry, this::standin, this::load);
-    Output output = new Output(stream(results), stream(faults));
+    Output output = new Output(stream(results), stream(errors));
     this.commandLine = new CommandLine(launchers, environment, output);
   }
 
@@ -42,7 +42,7 @@
 
   ExitCode run(String... arguments) {
     results.reset();
-    faults.reset();
+    errors.reset();
     return commandLine.run(arguments);
   }
 
@@ -50,8 +50,8 @@
     return results.toString(StandardCharsets.UTF_8);
   }
 
-  String faults() {
-    return faults.toString(StandardCharsets.UTF_8);
+  String errors() {
+    return errors.toString(StandardCharsets.UTF_8);
   }
 
   List<String> launched() {
--- a/hawthornlb-app/src/test/java/io/hawthornlb/app/command/CommandLineTest.java
+++ b/hawthornlb-app/src/test/java/io/hawthornlb/app/command/CommandLineTest.java
@@ -53,13 +53,13 @@
         "standin",
         "load"
       })
-  void helpsEverywhere(String command) {
+  void printsHelpOfEveryCommand(String command) {
     String call = (command + " --help").strip();
 
     assertEquals(ExitCode.OK, hawthornlb.run(call.split(" ")));
     String usage = ("Usage: hawthornlb " + command).strip();
     assertTrue(hawthornlb.results().startsWith(usage), hawthornlb.results());
-    assertEquals("", hawthornlb.faults());
+    assertEquals("", hawthornlb.errors());
   }
 
   @ParameterizedTest
@@ -76,19 +76,19 @@
         "job status",
         "catalogue check a b"
       })
-  void refusesWrongCalls(String call) {
-    assertEquals(ExitCode.WRONG_CALL, hawthornlb.run(call.split(" ")));
+  void rejectsInvalidArguments(String call) {
+    assertEquals(ExitCode.USAGE_ERROR, hawthornlb.run(call.split(" ")));
     assertEquals(List.of(), hawthornlb.launched());
   }
 
   @Test
-  void refusesACallWithoutCommand() {
-    assertEquals(ExitCode.WRONG_CALL, hawthornlb.run());
+  void rejectsACallWithoutCommand() {
+    assertEquals(ExitCode.USAGE_ERROR, hawthornlb.run());
     assertTrue(hawthornlb.results().contains("Usage: hawthornlb"));
   }
 
   @Test
-  void launches() throws IOException {
+  void passesArgumentsToTheLaunchers() throws IOException {
     String settings = file("entry.yaml", SETTINGS);
 
     assertEquals(ExitCode.OK, hawthornlb.run("entry", "--settings", settings));
@@ -103,24 +103,24 @@
 
   @Test
   void checksSettingsWithoutStarting() throws IOException {
-    String right = file("right.yaml", SETTINGS);
-    assertEquals(ExitCode.OK, hawthornlb.run("settings", "check", "--settings", right));
-    assertEquals(ExitCode.OK, hawthornlb.run("settings", "check", "--settings", right, "--json"));
+    String valid = file("right.yaml", SETTINGS);
+    assertEquals(ExitCode.OK, hawthornlb.run("settings", "check", "--settings", valid));
+    assertEquals(ExitCode.OK, hawthornlb.run("settings", "check", "--settings", valid, "--json"));
     assertEquals("{\"instance\":\"entry-1\",\"findings\":[]}\n", hawthornlb.results());
 
-    String wrong = file("wrong.yaml", SETTINGS.replace("ghala", "Ghala") + "logs: {}\n");
+    String invalid = file("wrong.yaml", SETTINGS.replace("ghala", "Ghala") + "logs: {}\n");
     for (String command : List.of("settings check", "entry")) {
-      String[] call = (command + " --settings " + wrong).split(" ");
-      assertEquals(ExitCode.WRONG_CALL, hawthornlb.run(call));
-      String faults = hawthornlb.faults();
-      assertTrue(faults.contains("wrong.yaml:1: instance.dataCentre: "), faults);
-      assertTrue(faults.contains("wrong.yaml:5: logs: unknown key"), faults);
-      assertTrue(faults.contains("2 findings"), faults);
+      String[] call = (command + " --settings " + invalid).split(" ");
+      assertEquals(ExitCode.USAGE_ERROR, hawthornlb.run(call));
+      String errors = hawthornlb.errors();
+      assertTrue(errors.contains("wrong.yaml:1: instance.dataCentre: "), errors);
+      assertTrue(errors.contains("wrong.yaml:5: logs: unknown key"), errors);
+      assertTrue(errors.contains("2 findings"), errors);
     }
     assertEquals(
-        ExitCode.WRONG_CALL, hawthornlb.run("settings", "check", "--json", "--settings", wrong));
+        ExitCode.USAGE_ERROR, hawthornlb.run("settings", "check", "--json", "--settings", invalid));
     assertTrue(hawthornlb.results().contains("\"line\":5,\"path\":\"logs\""));
-    assertEquals("", hawthornlb.faults());
+    assertEquals("", hawthornlb.errors());
     assertEquals(List.of(), hawthornlb.launched());
   }
 
--- a/hawthornlb-app/src/test/java/io/hawthornlb/app/command/EntryCommandsTest.java
+++ b/hawthornlb-app/src/test/java/io/hawthornlb/app/command/EntryCommandsTest.java
@@ -45,17 +45,18 @@
     return Files.writeString(folder.resolve(name), content).toString();
   }
 
-  // Two operators fetch the catalogue, both edit it, both put it back: the second would undo the
-  // first one's change unseen. The revision that a file was fetched at goes along with it.
+  // Guards against a lost update: two operators fetch the catalogue, edit it and put it back, and
+  // the second put silently undoes the change of the first. The file therefore carries the revision
+  // at which it was fetched, and put sends this revision in the If-Match header.
   @Test
-  void putsWhatShowWroteOnlyOnItsRevision() throws IOException {
+  void putSendsTheRevisionThatShowWrote() throws IOException {
     String shown = "{\"revision\":12,\"yaml\":\"services: {}\\nworkspaces: {}\\n\"}";
-    entry.answer("GET /v1/catalogue", 200, shown);
+    entry.respond("GET /v1/catalogue", 200, shown);
     assertEquals(ExitCode.OK, run("catalogue show"));
     assertEquals("# revision: 12\nservices: {}\nworkspaces: {}\n", hawthornlb.results());
     String file = file("c.yaml", "# revision: 12\n" + CATALOGUE);
 
-    entry.answer("PUT /v1/catalogue", 200, "{\"revision\":15}");
+    entry.respond("PUT /v1/catalogue", 200, "{\"revision\":15}");
     assertEquals(ExitCode.OK, run("catalogue put " + file));
     assertEquals("in force as revision 15\n", hawthornlb.results());
     assertEquals("12", entry.lastCall().header("If-match"));
@@ -63,9 +64,9 @@
     assertEquals("Bearer from-environment", entry.lastCall().header("Authorization"));
     assertEquals("# revision: 12\n" + CATALOGUE, entry.lastCall().body());
 
-    entry.answer("PUT /v1/catalogue", 409, "{\"detail\":\"edit 14 by samira came first\"}");
+    entry.respond("PUT /v1/catalogue", 409, "{\"detail\":\"edit 14 by samira came first\"}");
     assertEquals(ExitCode.FAILED, run("catalogue put " + file));
-    assertTrue(hawthornlb.faults().contains("edit 14 by samira came first"));
+    assertTrue(hawthornlb.errors().contains("edit 14 by samira came first"));
 
     assertEquals(ExitCode.FAILED, run("catalogue put --json --revision 14 " + file));
     assertEquals("14", entry.lastCall().header("If-match"));
@@ -73,31 +74,31 @@
   }
 
   @Test
-  void needsARevision() throws IOException {
-    assertEquals(ExitCode.WRONG_CALL, run("catalogue put " + file("c.yaml", CATALOGUE)));
-    assertTrue(hawthornlb.faults().contains("--revision"));
+  void rejectsPutWithoutARevision() throws IOException {
+    assertEquals(ExitCode.USAGE_ERROR, run("catalogue put " + file("c.yaml", CATALOGUE)));
+    assertTrue(hawthornlb.errors().contains("--revision"));
   }
 
   @Test
-  void checksFilesBeforeTheEntrySeesThem() throws IOException {
-    String wrong = file("c.yaml", CATALOGUE.replace("engine", "engin"));
-    assertEquals(ExitCode.WRONG_CALL, run("catalogue check " + wrong));
-    assertTrue(hawthornlb.faults().contains("c.yaml:2: services.brief-llm.kind: expected"));
-
-    String right = file("d.yaml", CATALOGUE);
-    assertEquals(ExitCode.OK, run("catalogue check " + right));
-    entry.answer(
+  void validatesFilesBeforeSendingThem() throws IOException {
+    String invalid = file("c.yaml", CATALOGUE.replace("engine", "engin"));
+    assertEquals(ExitCode.USAGE_ERROR, run("catalogue check " + invalid));
+    assertTrue(hawthornlb.errors().contains("c.yaml:2: services.brief-llm.kind: expected"));
+
+    String valid = file("d.yaml", CATALOGUE);
+    assertEquals(ExitCode.OK, run("catalogue check " + valid));
+    entry.respond(
         "POST /v1/catalogue/check",
         422,
         "{\"findings\":[{\"source\":\"body\",\"line\":2,\"path\":\"services\","
             + "\"message\":\"x\"}]}");
-    assertEquals(ExitCode.WRONG_CALL, run("catalogue check --by-entry " + right));
-    assertTrue(hawthornlb.faults().contains("body:2: services: x"));
+    assertEquals(ExitCode.USAGE_ERROR, run("catalogue check --by-entry " + valid));
+    assertTrue(hawthornlb.errors().contains("body:2: services: x"));
   }
 
   @Test
-  void listsEdits() {
-    entry.answer(
+  void printsTheHistoryOfEdits() {
+    entry.respond(
         "GET /v1/catalogue/history",
         200,
         "{\"edits\":[{\"revision\":3,\"at\":\"2026-12-02T10:00:00Z\",\"author\":\"amal\"}]}");
@@ -110,7 +111,7 @@
   void submitsJobs() throws IOException {
     String items = file("items.ndjson", "{\"custom_id\":\"a\"}\n");
     String key = file("key", " from-file \n");
-    entry.answer("POST /v1/jobs", 202, "{\"id\":\"j-1\"}");
+    entry.respond("POST /v1/jobs", 202, "{\"id\":\"j-1\"}");
     String call = "job submit --idempotency-key k --key-file " + key + " " + items + " --due ";
 
     assertEquals(ExitCode.OK, run(call + "2026-12-02T18:00:00Z"));
@@ -120,14 +121,14 @@
     assertEquals("Bearer from-file", entry.lastCall().header("Authorization"));
     assertEquals("{\"custom_id\":\"a\"}\n", entry.lastCall().body());
 
-    assertEquals(ExitCode.WRONG_CALL, run(call + "tomorrow"));
+    assertEquals(ExitCode.USAGE_ERROR, run(call + "tomorrow"));
   }
 
   @Test
   void readsAllPagesOfResults() {
-    entry.answer(
+    entry.respond(
         "GET /v1/jobs/j-1/results", 200, "{\"custom_id\":\"a\"}\n", Map.of("Next-Cursor", "1 2"));
-    entry.answer("GET /v1/jobs/j-1/results?cursor=1 2", 200, "{\"custom_id\":\"b\"}\n");
+    entry.respond("GET /v1/jobs/j-1/results?cursor=1 2", 200, "{\"custom_id\":\"b\"}\n");
 
     assertEquals(ExitCode.OK, run("job results j-1"));
     assertEquals("{\"custom_id\":\"a\"}\n{\"custom_id\":\"b\"}\n", hawthornlb.results());
@@ -138,8 +139,8 @@
     String status =
         "{\"id\":\"j-1\",\"status\":\"running\",\"due\":\"2026-12-02T18:00:00Z\","
             + "\"counts\":{\"total\":9,\"completed\":3,\"failed\":1,\"cancelled\":0}}";
-    entry.answer("GET /v1/jobs/j-1", 200, status);
-    entry.answer("POST /v1/jobs/j-1/cancel", 200, "{\"id\":\"j-1\",\"status\":\"cancelled\"}");
+    entry.respond("GET /v1/jobs/j-1", 200, status);
+    entry.respond("POST /v1/jobs/j-1/cancel", 200, "{\"id\":\"j-1\",\"status\":\"cancelled\"}");
 
     assertEquals(ExitCode.OK, run("job status j-1"));
     assertEquals(
@@ -152,12 +153,12 @@
   }
 
   @Test
-  void failsWithoutAnEntry() {
+  void failsIfTheEntryIsUnreachable() {
     String address = entry.address();
     entry.close();
 
     assertEquals(ExitCode.FAILED, hawthornlb.run("catalogue", "show", "--entry", address));
-    assertTrue(hawthornlb.faults().contains("no answer from " + address));
-    assertEquals(ExitCode.WRONG_CALL, hawthornlb.run("catalogue", "show", "--entry", "entry-1"));
+    assertTrue(hawthornlb.errors().contains("no answer from " + address));
+    assertEquals(ExitCode.USAGE_ERROR, hawthornlb.run("catalogue", "show", "--entry", "entry-1"));
   }
 }
--- a/hawthornlb-app/src/test/java/io/hawthornlb/app/command/FakeEntry.java
+++ b/hawthornlb-app/src/test/java/io/hawthornlb/app/command/FakeEntry.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/** An entry that gives prepared answers and keeps what it was asked. */
+/** HTTP server in place of an entry instance: returns prepared responses and records its calls. */
 final class FakeEntry implements AutoCloseable {
 
   record Call(String method, String path, Map<String, List<String>> headers, String body) {
@@ -22,10 +22,10 @@
     }
   }
 
-  private record Answer(int status, String body, Map<String, String> headers) {}
+  private record Response(int status, String body, Map<String, String> headers) {}
 
   private final HttpServer server;
-  private final Map<String, Answer> answers = new HashMap<>();
+  private final Map<String, Response> responses = new HashMap<>();
   private final List<Call> calls = new CopyOnWriteArrayList<>();
 
   FakeEntry() throws IOException {
@@ -38,12 +38,12 @@
     return "http://127.0.0.1:" + server.getAddress().getPort();
   }
 
-  void answer(String call, int status, String body, Map<String, String> headers) {
-    answers.put(call, new Answer(status, body, headers));
+  void respond(String call, int status, String body, Map<String, String> headers) {
+    responses.put(call, new Response(status, body, headers));
   }
 
-  void answer(String call, int status, String body) {
-    answer(call, status, body, Map.of());
+  void respond(String call, int status, String body) {
+    respond(call, status, body, Map.of());
   }
 
   Call lastCall() {
@@ -60,11 +60,11 @@
             target,
             new HashMap<>(exchange.getRequestHeaders()),
             body));
-    Answer answer = answers.getOrDefault(call, new Answer(404, "not here", Map.of()));
-    answer.headers().forEach((name, value) -> exchange.getResponseHeaders().add(name, value));
+    Response response = responses.getOrDefault(call, new Response(404, "not here", Map.of()));
+    response.headers().forEach((name, value) -> exchange.getResponseHeaders().add(name, value));
     exchange.getResponseHeaders().add("Content-Type", "application/json");
-    byte[] bytes = answer.body().getBytes(StandardCharsets.UTF_8);
-    exchange.sendResponseHeaders(answer.status(), bytes.length);
+    byte[] bytes = response.body().getBytes(StandardCharsets.UTF_8);
+    exchange.sendResponseHeaders(response.status(), bytes.length);
     exchange.getResponseBody().write(bytes);
     exchange.close();
   }
--- a/hawthornlb-app/src/test/java/io/hawthornlb/app/explain/ExplanationTest.java
+++ b/hawthornlb-app/src/test/java/io/hawthornlb/app/explain/ExplanationTest.java
@@ -14,7 +14,7 @@
   @TempDir private Path folder;
 
   @Test
-  void putsTheLinesOfSeveralInstancesInOrder() throws IOException {
+  void ordersLinesOfSeveralInstancesByTime() throws IOException {
     Path first =
         write(
             "first.log",
@@ -32,7 +32,7 @@
     LogReader reader = new LogReader();
     reader.read(first);
     reader.read(second);
-    assertEquals(2, reader.foreign());
+    assertEquals(2, reader.skippedLines());
     assertEquals(
         List.of(
             "first.log job item.sent",
@@ -46,7 +46,7 @@
   }
 
   @Test
-  void findsNothingForAnUnknownId() throws IOException {
+  void returnsNothingForAnUnknownId() throws IOException {
     LogReader reader = new LogReader();
     reader.read(write("a.log", line(1, "job", "item.sent", "\"id\":\"i1\"")));
     assertEquals(List.of(), Explanation.of("other", reader.events()));
