--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/HawthornlbApplication.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/HawthornlbApplication.java
@@ -10,12 +10,12 @@
 import io.hawthornlb.standin.load.LoadTool;
 import java.util.concurrent.CountDownLatch;
 
-/** Starts the program. */
+/** Entry point of the program. */
 public final class HawthornlbApplication {
 
   private HawthornlbApplication() {}
 
-  /** Runs the command that the arguments name and exits with its code. */
+  /** Runs the command that the arguments name and exits with its exit code. */
   public static void main(String[] arguments) {
     LogSetup.prepare();
     Launchers launchers =
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/logging/KeepingLogManager.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/logging/KeepingLogManager.java
@@ -2,12 +2,17 @@
 
 import java.util.logging.LogManager;
 
-/** Keeps its handlers while the process shuts down; made by the JDK from its class name. */
+/**
+ * Log manager that keeps its handlers while the process shuts down.
+ *
+ * <p>The JDK creates the instance by the class name in a system property; see {@link
+ * LogSetup#prepare}.
+ */
 public final class KeepingLogManager extends LogManager {
 
-  /** Does nothing; the handlers write without a buffer and need no end. */
+  /** Does nothing: the handlers flush every event, so they need not be closed. */
   @Override
   public void reset() {
-    // See LogSetup.prepare.
+    // Keeps all handlers; LogSetup.prepare explains why.
   }
 }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/logging/LineFormatter.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/logging/LineFormatter.java
@@ -9,15 +9,16 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Writes an event as {@code time LEVEL part: message}, on one line.
+ * Formats an event as {@code time LEVEL part: message} on one line.
  *
- * <p>Messages of the program begin with the prefix of their part already. Those of libraries get
- * one from the name of their logger. Line breaks in messages, which callers may have sent, are
- * replaced, so that nobody can forge an event.
+ * <p>Messages of this program already begin with the name of their part. Messages of libraries get
+ * a prefix that is derived from the name of their logger. Control characters, such as line breaks,
+ * are replaced by spaces, because messages may contain text from callers, who could otherwise forge
+ * log events.
  */
 public final class LineFormatter extends Formatter {
 
-  private static final String OWN_LOGGERS = "io.hawthornlb.";
+  private static final String PROGRAM_LOGGER_PREFIX = "io.hawthornlb.";
   private static final DateTimeFormatter TIME =
       DateTimeFormatter.ofPattern("uuuu-MM-dd'T'HH:mm:ss.SSSX").withZone(ZoneOffset.UTC);
   private static final Pattern CONTROL = Pattern.compile("\\p{Cntrl}+");
@@ -42,7 +43,7 @@
   }
 
   private static String prefix(@Nullable String logger) {
-    if (logger == null || logger.startsWith(OWN_LOGGERS)) {
+    if (logger == null || logger.startsWith(PROGRAM_LOGGER_PREFIX)) {
       return "";
     }
     String[] names = logger.split("\\.");
@@ -57,7 +58,7 @@
       if (cause.getMessage() != null) {
         line.append(": ").append(oneLine(cause.getMessage()));
       }
-      appendPlace(line, cause);
+      appendLocation(line, cause);
       cause = cause.getCause();
     }
     if (thrown != null) {
@@ -65,7 +66,7 @@
     }
   }
 
-  private static void appendPlace(StringBuilder line, Throwable cause) {
+  private static void appendLocation(StringBuilder line, Throwable cause) {
     StackTraceElement[] frames = cause.getStackTrace();
     if (frames.length > 0) {
       line.append(" at ").append(frames[0].getFileName()).append(':');
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/logging/LogSetup.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/logging/LogSetup.java
@@ -7,37 +7,41 @@
 import java.util.logging.LogManager;
 import java.util.logging.Logger;
 
-/** Sends {@link System.Logger} and the loggers of libraries to one stream. */
+/** Configures logging: events of the program and of libraries are written to one stream. */
 public final class LogSetup {
 
   private static final String MANAGER_PROPERTY = "java.util.logging.manager";
   private static final String SLF4J_VERBOSITY_PROPERTY = "slf4j.internal.verbosity";
-  private static final String OWN_LOGGER = "io.hawthornlb";
+  private static final String PROGRAM_LOGGER = "io.hawthornlb";
 
   private LogSetup() {}
 
   /**
-   * Prepares the process; must run before the first logger is made.
+   * Sets the system properties for logging. Must run before the first logger is created.
    *
-   * <p>The JDK's log manager closes its handlers in a shutdown hook of its own, which runs beside
-   * the one that stops an entry: the events of a graceful stop would be lost. The manager set here
-   * keeps its handlers to the end.
+   * <p>The JDK's log manager closes its handlers in its own shutdown hook. This hook runs
+   * concurrently with the one that stops an entry instance, so events of the graceful stop would be
+   * lost. {@link KeepingLogManager} keeps its handlers until the process ends.
    */
   public static void prepare() {
     System.setProperty(MANAGER_PROPERTY, KeepingLogManager.class.getName());
-    // Libraries that log by SLF4J find no provider, which is meant; the notice about it is noise.
+    // Libraries that log through SLF4J deliberately find no provider; ERROR hides the notice of it.
     System.setProperty(SLF4J_VERBOSITY_PROPERTY, "ERROR");
   }
 
-  /** Logs events of a level and above to a stream; libraries log warnings and above. */
+  /**
+   * Writes events of the program at the given level and above to a stream.
+   *
+   * <p>Libraries log at level warning and above, or at info and above if the given level is debug.
+   */
   public static void configure(LogLevel level, PrintStream stream) {
     Logger root = LogManager.getLogManager().getLogger("");
-    for (Handler former : root.getHandlers()) {
-      root.removeHandler(former);
+    for (Handler previous : root.getHandlers()) {
+      root.removeHandler(previous);
     }
     root.addHandler(new StreamLogHandler(stream));
     root.setLevel(level == LogLevel.DEBUG ? Level.INFO : Level.WARNING);
-    OwnLogger.INSTANCE.setLevel(level(level));
+    ProgramLogger.INSTANCE.setLevel(level(level));
   }
 
   private static Level level(LogLevel level) {
@@ -49,11 +53,11 @@
     };
   }
 
-  /** Keeps the logger, whose level would be lost when it is collected as garbage. */
-  private static final class OwnLogger {
+  /** Holds the logger strongly, because its level is lost if the logger is garbage-collected. */
+  private static final class ProgramLogger {
 
-    private static final Logger INSTANCE = Logger.getLogger(OWN_LOGGER);
+    private static final Logger INSTANCE = Logger.getLogger(PROGRAM_LOGGER);
 
-    private OwnLogger() {}
+    private ProgramLogger() {}
   }
 }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/logging/StreamLogHandler.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/logging/StreamLogHandler.java
@@ -4,7 +4,7 @@
 import java.util.logging.Handler;
 import java.util.logging.LogRecord;
 
-/** Writes each event to a stream at once. */
+/** Writes each event to a stream and flushes the stream. */
 final class StreamLogHandler extends Handler {
 
   private final PrintStream stream;
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/logging/package-info.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/logging/package-info.java
@@ -1,4 +1,4 @@
-/** Logs: one line an event, with time, level and the prefix of a part. */
+/** Logging setup: one line per event, with time, level and the name of the part. */
 @NullMarked
 package io.hawthornlb.app.logging;
 
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/package-info.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/package-info.java
@@ -1,4 +1,4 @@
-/** The program: command line, settings and wiring. */
+/** Entry point of the program, which connects the command line with the parts that it starts. */
 @NullMarked
 package io.hawthornlb.app;
 
--- a/hawthornlb-app/src/test/java/io/hawthornlb/app/logging/LineFormatterTest.java
+++ b/hawthornlb-app/src/test/java/io/hawthornlb/app/logging/LineFormatterTest.java
@@ -33,10 +33,10 @@
         format("custom", Level.WARNING, "x", null));
   }
 
-  // A caller sends a name with a line break followed by what looks like an event, and whoever reads
-  // the log takes it for one of the program's.
+  // Guards against log injection: a caller sends a name that contains a line break and text in the
+  // format of an event, and a reader of the log takes the text for an event of the program.
   @Test
-  void keepsAnEventOnOneLine() {
+  void writesAnEventOnOneLine() {
     String line =
         format(
             "io.hawthornlb.A",
--- a/hawthornlb-app/src/test/java/io/hawthornlb/app/logging/LogSetupTest.java
+++ b/hawthornlb-app/src/test/java/io/hawthornlb/app/logging/LogSetupTest.java
@@ -18,18 +18,18 @@
   private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
 
   @AfterEach
-  void logToTheConsoleAgain() {
+  void restoreLoggingToTheConsole() {
     LogSetup.configure(LogLevel.INFO, System.err);
   }
 
   @Test
-  void levelsOfTheSettingsHoldForTheProgramOnly() {
+  void appliesTheLevelToTheProgramOnly() {
     LogSetup.configure(LogLevel.INFO, new PrintStream(bytes, true));
-    System.Logger own = System.getLogger("io.hawthornlb.test.Own");
+    System.Logger program = System.getLogger("io.hawthornlb.test.Own");
     System.Logger library = System.getLogger("org.example.Library");
 
-    own.log(System.Logger.Level.INFO, "test: {0} kept", "one");
-    own.log(System.Logger.Level.DEBUG, "test: dropped");
+    program.log(System.Logger.Level.INFO, "test: {0} kept", "one");
+    program.log(System.Logger.Level.DEBUG, "test: dropped");
     library.log(System.Logger.Level.INFO, "dropped too");
     library.log(System.Logger.Level.WARNING, "two kept");
 
@@ -39,8 +39,9 @@
     assertTrue(lines[1].endsWith(" WARNING library example: two kept"));
   }
 
-  // An operator stops an entry and looks for "stopped" in its log: the JDK's own shutdown hook has
-  // closed the handlers while the entry was still finishing its requests, so the end is missing.
+  // Guards against lost events at shutdown: the JDK's own shutdown hook closes the handlers while
+  // the entry instance still finishes its requests, so the log lacks the "stopped" event that an
+  // operator looks for.
   @Test
   void keepsHandlersWhileTheProcessShutsDown() {
     LogManager manager = new KeepingLogManager();
