--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/AnswerText.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/AnswerText.java
@@ -1,8 +1,8 @@
 package io.hawthornlb.standin.engine;
 
 /**
- * The text that an engine stand-in writes: it follows from the messages alone, so that a caller can
- * tell whether an answer is whole and its own.
+ * Generates the text of an engine stand-in's answers. The text depends only on the messages of the
+ * request, so a caller can verify that an answer is complete and belongs to its own request.
  */
 public final class AnswerText {
 
@@ -11,23 +11,23 @@
     "table", "uniform", "arrive", "leave", "check", "probe", "reading", "normal", "raised", "lower",
     "hall", "lamp", "water", "bus", "list", "name", "early", "late", "first", "second", "third"
   };
-  private static final int SHORTEST = 16;
-  private static final int LENGTHS = 112;
-  private static final long MIX = 0x9E3779B97F4A7C15L;
+  private static final int MIN_TOKENS = 16;
+  private static final int LENGTH_RANGE = 112;
+  private static final long GOLDEN_GAMMA = 0x9E3779B97F4A7C15L;
 
   private AnswerText() {}
 
-  /** Returns the token at an index: the prompt's hash at 0, then words that the hash picks. */
+  /** Returns the token at an index: the prompt hash at index 0, then words chosen by the hash. */
   public static String token(String promptHash, int index) {
     if (index == 0) {
       return "[" + promptHash + "]";
     }
-    long mixed = (seed(promptHash) + index * MIX) * MIX;
+    long mixed = (seed(promptHash) + index * GOLDEN_GAMMA) * GOLDEN_GAMMA;
     int word = (int) Long.remainderUnsigned(mixed >>> 32, WORDS.length);
     return " " + index + ":" + WORDS[word];
   }
 
-  /** Returns the whole text of an answer with this number of tokens. */
+  /** Returns the complete text of an answer that has the given number of tokens. */
   public static String whole(String promptHash, int tokens) {
     StringBuilder text = new StringBuilder();
     for (int index = 0; index < tokens; index++) {
@@ -36,9 +36,9 @@
     return text.toString();
   }
 
-  /** Returns how many tokens the answer has when the caller sets no limit. */
-  public static int naturalLength(String promptHash) {
-    return SHORTEST + (int) Long.remainderUnsigned(seed(promptHash), LENGTHS);
+  /** Returns the number of tokens in the answer to a request without {@code max_tokens}. */
+  public static int defaultLength(String promptHash) {
+    return MIN_TOKENS + (int) Long.remainderUnsigned(seed(promptHash), LENGTH_RANGE);
   }
 
   private static long seed(String promptHash) {
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/BatchScheduler.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/BatchScheduler.java
@@ -3,25 +3,26 @@
 import java.util.List;
 
 /**
- * Decides what each step of a continuously batching engine does.
+ * Schedules the steps of an engine with continuous batching.
  *
- * <p>At the start of a step, waiting sequences are admitted first come, first served while a slot
- * and room for their whole context are free. A step prefills at most a chunk of prompt tokens,
- * oldest sequence first, and decodes one token of each sequence whose prompt was whole before the
- * step. A prompt that becomes whole yields its first token in the same step. A sequence that has
- * all its tokens frees its slot at the end of the step.
+ * <p>At the start of a step, the scheduler admits waiting sequences in order of arrival, as long as
+ * a slot is free and the KV cache has space for the full final context of the next sequence. A step
+ * prefills at most one chunk of prompt tokens, starting with the oldest sequence, and decodes one
+ * token for each sequence whose prompt was fully prefilled before the step. A sequence whose
+ * prefill completes in a step gets its first token in the same step. A sequence that has all its
+ * tokens releases its slot at the end of the step.
  *
- * <p>Confined to one thread.
+ * <p>Not thread-safe: one thread makes all calls.
  */
 public interface BatchScheduler {
 
-  /** Adds a sequence to those that wait. */
+  /** Adds a sequence to the end of the waiting queue. */
   void submit(SequenceSpec sequence);
 
-  /** Removes a sequence wherever it is, and returns whether there was one. */
+  /** Removes a waiting or running sequence and returns whether the id was present. */
   boolean cancel(String id);
 
-  /** Runs a step; one without any sequence takes no time. */
+  /** Runs a step. A step without running sequences has a duration of zero. */
   Step step();
 
   /** Returns the load after the last step. */
@@ -30,31 +31,31 @@
   /**
    * A sequence to generate.
    *
-   * @param id unique among the sequences present
-   * @param prompt its prompt
-   * @param done tokens of the answer that exist already, with their context
-   * @param contextReady whether the context of prompt and answer so far is at hand, as after an
-   *     import or a cancellation
-   * @param total tokens of the whole answer
+   * @param id the id, unique among the waiting and running sequences
+   * @param prompt the prompt
+   * @param done the number of answer tokens generated before the sequence is submitted
+   * @param contextReady whether the KV cache already holds the context of the prompt and of the
+   *     tokens generated so far, as after an import or a cancellation, so that no prefill is needed
+   * @param total the number of tokens in the complete answer
    */
   record SequenceSpec(String id, Prompt prompt, int done, boolean contextReady, int total) {
 
-    /** Returns the tokens of context that it holds at its end. */
+    /** Returns the number of context tokens that the sequence holds when its answer is complete. */
     public int finalContext() {
       return prompt.tokens() + total;
     }
   }
 
   /**
-   * What a step did.
+   * The result of a step.
    *
-   * @param nanos how long it takes
-   * @param tokens ids of the sequences that got a token
-   * @param finished ids of the sequences that ended with it
+   * @param nanos the emulated duration of the step in nanoseconds
+   * @param tokens the ids of the sequences for which the step generated a token
+   * @param finished the ids of the sequences that the step completed
    */
   record Step(long nanos, List<String> tokens, List<String> finished) {
 
-    /** Copies the lists. */
+    /** Creates a step with immutable copies of the lists. */
     public Step {
       tokens = List.copyOf(tokens);
       finished = List.copyOf(finished);
@@ -62,11 +63,11 @@
   }
 
   /**
-   * How full the engine is.
+   * The load of the engine.
    *
-   * @param running sequences in slots
-   * @param waiting sequences without a slot
-   * @param kvUsedTokens tokens reserved by the running sequences
+   * @param running the number of sequences that hold a slot
+   * @param waiting the number of sequences that wait for a slot
+   * @param kvUsedTokens the number of KV cache tokens reserved by the running sequences
    */
   record BatchLoad(int running, int waiting, int kvUsedTokens) {}
 }
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/ChatMessage.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/ChatMessage.java
@@ -8,7 +8,7 @@
 /** One message of a chat. */
 public record ChatMessage(String role, String content) {
 
-  /** Reads a message whose content is a text or a list of parts with texts. */
+  /** Creates a message from JSON whose content is either a string or a list of text parts. */
   @JsonCreator
   public static ChatMessage of(
       @JsonProperty("role") @Nullable String role,
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/ChatRequest.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/ChatRequest.java
@@ -5,12 +5,12 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The body of a chat completion.
+ * The body of a chat completion request.
  *
- * @param model the model or service
- * @param messages the chat so far
- * @param stream whether the answer comes token by token
- * @param maxTokens how many tokens to generate; absent leaves it to the engine
+ * @param model the name of a model or service
+ * @param messages the messages of the conversation so far
+ * @param stream whether the engine streams the answer token by token
+ * @param maxTokens the number of tokens to generate; if absent, the engine chooses the number
  */
 public record ChatRequest(
     @Nullable String model,
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/EngineMemory.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/EngineMemory.java
@@ -5,16 +5,19 @@
 import io.hawthornlb.standin.support.SettingsChecks;
 
 /**
- * What an engine holds at once.
+ * Capacity settings of an engine.
  *
- * @param slots the sequences that run at once
- * @param kvTokens the tokens that running sequences may hold together
- * @param cacheTokens the tokens of cached prompt prefixes
- * @param maxWaiting the sequences that may wait for a slot; further ones get 503
- * @param keepMillis how long ended and cancelled streams can be resumed
- * @param maxKept how many ended streams are kept at most
- * @param detachedMillis how long a stream without a reader runs on
- * @param kvBytesPerToken the bytes for each token in an export
+ * @param slots the maximum number of sequences that run at the same time
+ * @param kvTokens the KV cache capacity in tokens, shared by all running sequences
+ * @param cacheTokens the prefix cache capacity in tokens
+ * @param maxWaiting the maximum number of sequences that wait for a slot; the engine answers
+ *     further requests with status 503
+ * @param keepMillis the time in milliseconds for which completed and cancelled streams can still be
+ *     read or resumed
+ * @param maxKept the maximum number of completed and cancelled streams that are kept
+ * @param detachedMillis the time in milliseconds after which the engine cancels a stream that has
+ *     no reader
+ * @param kvBytesPerToken the number of bytes for each context token in a KV export
  */
 @JsonDeserialize(builder = EngineMemory.Builder.class)
 public record EngineMemory(
@@ -27,7 +30,7 @@
     long detachedMillis,
     int kvBytesPerToken) {
 
-  /** Checks the values. */
+  /** Validates the components. */
   public EngineMemory {
     SettingsChecks.positive(slots, "slots");
     SettingsChecks.positive(kvTokens, "kvTokens");
@@ -39,12 +42,12 @@
     SettingsChecks.notNegative(kvBytesPerToken, "kvBytesPerToken");
   }
 
-  /** Returns a builder with the defaults. */
+  /** Returns a builder that holds the default values. */
   public static Builder builder() {
     return new Builder();
   }
 
-  /** Collects the values. */
+  /** Builds {@link EngineMemory} instances. */
   @JsonPOJOBuilder(withPrefix = "")
   public static final class Builder {
 
@@ -59,55 +62,58 @@
 
     private Builder() {}
 
-    /** Sets the sequences that run at once; 16 by default. */
+    /** Sets the maximum number of sequences that run at the same time; 16 by default. */
     public Builder slots(int value) {
       slots = value;
       return this;
     }
 
-    /** Sets the tokens that running sequences may hold together; 60,000 by default. */
+    /** Sets the KV cache capacity in tokens; 60,000 by default. */
     public Builder kvTokens(int value) {
       kvTokens = value;
       return this;
     }
 
-    /** Sets the tokens of cached prompt prefixes; 30,000 by default. */
+    /** Sets the prefix cache capacity in tokens; 30,000 by default. */
     public Builder cacheTokens(int value) {
       cacheTokens = value;
       return this;
     }
 
-    /** Sets the sequences that may wait for a slot; further ones get 503; 4,096 by default. */
+    /**
+     * Sets the maximum number of sequences that wait for a slot; 4,096 by default. The engine
+     * answers further requests with status 503.
+     */
     public Builder maxWaiting(int value) {
       maxWaiting = value;
       return this;
     }
 
-    /** Sets how long ended and cancelled streams can be resumed; 30,000 by default. */
+    /** Sets how many milliseconds a completed or cancelled stream is kept; 30,000 by default. */
     public Builder keepMillis(long value) {
       keepMillis = value;
       return this;
     }
 
-    /** Sets how many ended streams are kept at most; 2,000 by default. */
+    /** Sets how many completed and cancelled streams are kept at most; 2,000 by default. */
     public Builder maxKept(int value) {
       maxKept = value;
       return this;
     }
 
-    /** Sets how long a stream without a reader runs on; 10,000 by default. */
+    /** Sets how many milliseconds a stream runs without a reader; 10,000 by default. */
     public Builder detachedMillis(long value) {
       detachedMillis = value;
       return this;
     }
 
-    /** Sets the bytes for each token in an export; 64 by default. */
+    /** Sets the number of bytes for each token in a KV export; 64 by default. */
     public Builder kvBytesPerToken(int value) {
       kvBytesPerToken = value;
       return this;
     }
 
-    /** Returns the checked values. */
+    /** Returns the settings after validation. */
     public EngineMemory build() {
       return new EngineMemory(
           slots,
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/EngineOrders.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/EngineOrders.java
@@ -5,29 +5,30 @@
 import io.hawthornlb.standin.support.SettingsChecks;
 
 /**
- * How an engine takes orders.
+ * Settings for the orders that an engine executes.
  *
- * @param checkFencing whether an order with an old fencing number is refused
- * @param loadMillis how long it takes to load a model
- * @param adapterMillis how long it takes to load an adapter
- * @param loadPauses whether sequences stand still while a model is loaded
+ * @param checkFencing whether the engine rejects an order whose fencing number is lower than the
+ *     highest number received before
+ * @param loadMillis the time in milliseconds to load a model
+ * @param adapterMillis the time in milliseconds to load an adapter
+ * @param loadPauses whether all sequences pause while a model is loaded
  */
 @JsonDeserialize(builder = EngineOrders.Builder.class)
 public record EngineOrders(
     boolean checkFencing, long loadMillis, long adapterMillis, boolean loadPauses) {
 
-  /** Checks the values. */
+  /** Validates the components. */
   public EngineOrders {
     SettingsChecks.notNegative(loadMillis, "loadMillis");
     SettingsChecks.notNegative(adapterMillis, "adapterMillis");
   }
 
-  /** Returns a builder with the defaults. */
+  /** Returns a builder that holds the default values. */
   public static Builder builder() {
     return new Builder();
   }
 
-  /** Collects the values. */
+  /** Builds {@link EngineOrders} instances. */
   @JsonPOJOBuilder(withPrefix = "")
   public static final class Builder {
 
@@ -38,31 +39,31 @@
 
     private Builder() {}
 
-    /** Sets whether an order with an old fencing number is refused; true by default. */
+    /** Sets whether an order with an outdated fencing number is rejected; true by default. */
     public Builder checkFencing(boolean value) {
       checkFencing = value;
       return this;
     }
 
-    /** Sets how long it takes to load a model; 3,000 by default. */
+    /** Sets the time in milliseconds to load a model; 3,000 by default. */
     public Builder loadMillis(long value) {
       loadMillis = value;
       return this;
     }
 
-    /** Sets how long it takes to load an adapter; 500 by default. */
+    /** Sets the time in milliseconds to load an adapter; 500 by default. */
     public Builder adapterMillis(long value) {
       adapterMillis = value;
       return this;
     }
 
-    /** Sets whether sequences stand still while a model is loaded; true by default. */
+    /** Sets whether all sequences pause while a model is loaded; true by default. */
     public Builder loadPauses(boolean value) {
       loadPauses = value;
       return this;
     }
 
-    /** Returns the checked values. */
+    /** Returns the settings after validation. */
     public EngineOrders build() {
       return new EngineOrders(checkFencing, loadMillis, adapterMillis, loadPauses);
     }
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/EngineRefusalException.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/EngineRefusalException.java
@@ -2,18 +2,21 @@
 
 import io.micronaut.http.HttpStatus;
 
-/** An engine does not run what it was asked to; the status tells whether asking again can help. */
+/**
+ * Thrown when an engine rejects a request or an order. The HTTP status tells the caller whether a
+ * retry can succeed.
+ */
 public final class EngineRefusalException extends RuntimeException {
 
   private final transient HttpStatus status;
 
-  /** Carries the status of the answer. */
+  /** Creates an exception with the HTTP status of the error response. */
   public EngineRefusalException(HttpStatus status, String message) {
     super(message);
     this.status = status;
   }
 
-  /** Returns the status of the answer. */
+  /** Returns the HTTP status of the error response. */
   public HttpStatus status() {
     return status;
   }
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/EngineReports.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/EngineReports.java
@@ -5,13 +5,13 @@
 import io.hawthornlb.standin.support.SettingsChecks;
 
 /**
- * How late and how completely an engine reports.
+ * Settings for the delay and the completeness of an engine's reports.
  *
- * @param loadLagMillis the age of the load report
- * @param cacheEventLagMillis how late cache events appear
- * @param cacheEventLossPercent how many in a hundred cache events never appear
- * @param cacheEventsKept how many cache events can be read back
- * @param seed what draws the lost cache events
+ * @param loadLagMillis the age of the load report in milliseconds
+ * @param cacheEventLagMillis the delay in milliseconds before a cache event becomes readable
+ * @param cacheEventLossPercent the percentage of cache events that are dropped
+ * @param cacheEventsKept the maximum number of cache events that are kept for readers
+ * @param seed the seed of the random number generator that selects the dropped cache events
  */
 @JsonDeserialize(builder = EngineReports.Builder.class)
 public record EngineReports(
@@ -21,7 +21,7 @@
     int cacheEventsKept,
     long seed) {
 
-  /** Checks the values. */
+  /** Validates the components. */
   public EngineReports {
     SettingsChecks.notNegative(loadLagMillis, "loadLagMillis");
     SettingsChecks.notNegative(cacheEventLagMillis, "cacheEventLagMillis");
@@ -31,12 +31,12 @@
     SettingsChecks.positive(cacheEventsKept, "cacheEventsKept");
   }
 
-  /** Returns a builder with the defaults. */
+  /** Returns a builder that holds the default values. */
   public static Builder builder() {
     return new Builder();
   }
 
-  /** Collects the values. */
+  /** Builds {@link EngineReports} instances. */
   @JsonPOJOBuilder(withPrefix = "")
   public static final class Builder {
 
@@ -48,37 +48,37 @@
 
     private Builder() {}
 
-    /** Sets the age of the load report; 500 by default. */
+    /** Sets the age of the load report in milliseconds; 500 by default. */
     public Builder loadLagMillis(long value) {
       loadLagMillis = value;
       return this;
     }
 
-    /** Sets how late cache events appear; 500 by default. */
+    /** Sets the delay of cache events in milliseconds; 500 by default. */
     public Builder cacheEventLagMillis(long value) {
       cacheEventLagMillis = value;
       return this;
     }
 
-    /** Sets how many in a hundred cache events never appear; 5 by default. */
+    /** Sets the percentage of cache events that are dropped; 5 by default. */
     public Builder cacheEventLossPercent(int value) {
       cacheEventLossPercent = value;
       return this;
     }
 
-    /** Sets how many cache events can be read back; 10,000 by default. */
+    /** Sets how many cache events are kept for readers; 10,000 by default. */
     public Builder cacheEventsKept(int value) {
       cacheEventsKept = value;
       return this;
     }
 
-    /** Sets what draws the lost cache events; 1 by default. */
+    /** Sets the random seed that selects the dropped cache events; 1 by default. */
     public Builder seed(long value) {
       seed = value;
       return this;
     }
 
-    /** Returns the checked values. */
+    /** Returns the settings after validation. */
     public EngineReports build() {
       return new EngineReports(
           loadLagMillis, cacheEventLagMillis, cacheEventLossPercent, cacheEventsKept, seed);
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/EngineSettings.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/EngineSettings.java
@@ -8,14 +8,15 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Settings of an engine.
+ * Settings of an engine stand-in.
  *
- * @param identity who it is
- * @param models the models that it has at the start; its service is served as a model too
- * @param timing how long its steps take
- * @param memory what it holds at once
- * @param reports how it reports
- * @param orders how it takes orders
+ * @param identity the id, service and address of the engine
+ * @param models the models loaded at startup, as {@code model} or {@code model@version}; the engine
+ *     also accepts the name of its service as a model
+ * @param timing the duration of the engine's steps
+ * @param memory the capacity of the engine
+ * @param reports the delay and the completeness of the engine's reports
+ * @param orders the settings for orders
  */
 @JsonDeserialize(builder = EngineSettings.Builder.class)
 public record EngineSettings(
@@ -26,18 +27,18 @@
     EngineReports reports,
     EngineOrders orders) {
 
-  /** Checks the values. */
+  /** Validates the components. */
   public EngineSettings {
     SettingsChecks.isTrue(identity != null, "identity must be given");
     models = List.copyOf(models);
   }
 
-  /** Returns a builder with the defaults. */
+  /** Returns a builder that holds the default values. */
   public static Builder builder() {
     return new Builder();
   }
 
-  /** Collects the values. */
+  /** Builds {@link EngineSettings} instances. */
   @JsonPOJOBuilder(withPrefix = "")
   public static final class Builder {
 
@@ -50,43 +51,43 @@
 
     private Builder() {}
 
-    /** Sets who it is; required. */
+    /** Sets the identity of the engine; required. */
     public Builder identity(StandinIdentity value) {
       identity = value;
       return this;
     }
 
-    /** Sets the models that it has at the start; empty by default. */
+    /** Sets the models loaded at startup; empty by default. */
     public Builder models(List<String> value) {
       models = value;
       return this;
     }
 
-    /** Sets how long its steps take; EngineTiming.builder().build() by default. */
+    /** Sets the duration of steps; the defaults of {@link EngineTiming} apply if not set. */
     public Builder timing(EngineTiming value) {
       timing = value;
       return this;
     }
 
-    /** Sets what it holds at once; EngineMemory.builder().build() by default. */
+    /** Sets the capacity; the defaults of {@link EngineMemory} apply if not set. */
     public Builder memory(EngineMemory value) {
       memory = value;
       return this;
     }
 
-    /** Sets how it reports; EngineReports.builder().build() by default. */
+    /** Sets the settings for reports; the defaults of {@link EngineReports} apply if not set. */
     public Builder reports(EngineReports value) {
       reports = value;
       return this;
     }
 
-    /** Sets how it takes orders; EngineOrders.builder().build() by default. */
+    /** Sets the settings for orders; the defaults of {@link EngineOrders} apply if not set. */
     public Builder orders(EngineOrders value) {
       orders = value;
       return this;
     }
 
-    /** Returns the checked values. */
+    /** Returns the settings after validation. */
     public EngineSettings build() {
       return new EngineSettings(identity, models, timing, memory, reports, orders);
     }
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/EngineStandin.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/EngineStandin.java
@@ -11,20 +11,20 @@
 import java.time.InstantSource;
 import java.util.List;
 
-/** Starts stand-ins of model engines. */
+/** Starts stand-ins for model engines. */
 public final class EngineStandin {
 
-  /** The role of this kind of process. */
+  /** The value of {@link StandinServer#ROLE_PROPERTY} for engine stand-ins. */
   public static final String ROLE = "standin-engine";
 
   private EngineStandin() {}
 
-  /** Starts an engine that ends the process when a request crashes it. */
+  /** Starts an engine that halts the process when a request triggers a crash fault. */
   public static RunningStandin start(EngineSettings settings) {
     return start(settings, ProcessExit::crash);
   }
 
-  /** Starts an engine that calls {@code exit} when a request crashes it. */
+  /** Starts an engine that calls {@code exit} when a request triggers a crash fault. */
   public static RunningStandin start(EngineSettings settings, Runnable exit) {
     StandinIdentity identity = settings.identity();
     FaultBoard faults = new FaultBoard(InstantSource.system(), exit);
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/EngineState.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/EngineState.java
@@ -3,13 +3,13 @@
 import java.util.List;
 
 /**
- * What an engine has loaded.
+ * The models, adapters and role of an engine.
  *
- * @param models loaded models, as {@code model} or {@code model@version}
- * @param adapters loaded adapters, written alike
- * @param role the role that it was given
- * @param lastFencing the highest fencing number of an order that it took
- * @param loading models and adapters that are on their way
+ * @param models the loaded models, as {@code model} or {@code model@version}
+ * @param adapters the loaded adapters, in the same format
+ * @param role the current role of the engine
+ * @param lastFencing the highest fencing number received in an order, or -1 before the first
+ * @param loading the models and adapters that are being loaded
  */
 public record EngineState(
     List<String> models,
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/EngineTiming.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/EngineTiming.java
@@ -5,14 +5,15 @@
 import io.hawthornlb.standin.support.SettingsChecks;
 
 /**
- * How long the steps of an engine take. A step decodes one token of each running sequence and
- * prefills some tokens of those that have just begun.
+ * Settings for the duration of an engine's steps. A step decodes one token for each running
+ * sequence whose prefill is complete, and prefills prompt tokens of the other running sequences.
+ * The duration is the sum of the following times in microseconds.
  *
- * @param stepMicros time of any step
- * @param sequenceMicros time for each sequence that decodes
- * @param kiloContextMicros time for each thousand tokens of context of these sequences
- * @param prefillTokenMicros time for each prompt token that is prefilled
- * @param prefillChunkTokens prompt tokens that a step prefills at most
+ * @param stepMicros the fixed time of every step
+ * @param sequenceMicros the time for each decoding sequence
+ * @param kiloContextMicros the time for every thousand context tokens of the decoding sequences
+ * @param prefillTokenMicros the time for each prefilled token
+ * @param prefillChunkTokens the maximum number of tokens that a step prefills
  */
 @JsonDeserialize(builder = EngineTiming.Builder.class)
 public record EngineTiming(
@@ -25,7 +26,7 @@
   private static final double NANOS_PER_MICRO = 1_000;
   private static final double KILO = 1_000;
 
-  /** Checks the values. */
+  /** Validates the components. */
   public EngineTiming {
     SettingsChecks.positive(stepMicros, "stepMicros");
     SettingsChecks.notNegative(sequenceMicros, "sequenceMicros");
@@ -34,7 +35,7 @@
     SettingsChecks.positive(prefillChunkTokens, "prefillChunkTokens");
   }
 
-  /** Returns the time of a step in nanoseconds. */
+  /** Returns the duration of a step in nanoseconds. */
   public long stepNanos(int prefillTokens, int sequences, long contextTokens) {
     double micros =
         stepMicros
@@ -44,12 +45,12 @@
     return Math.round(micros * NANOS_PER_MICRO);
   }
 
-  /** Returns a builder with the defaults. */
+  /** Returns a builder that holds the default values. */
   public static Builder builder() {
     return new Builder();
   }
 
-  /** Collects the values. */
+  /** Builds {@link EngineTiming} instances. */
   @JsonPOJOBuilder(withPrefix = "")
   public static final class Builder {
 
@@ -61,37 +62,37 @@
 
     private Builder() {}
 
-    /** Sets the time of any step; 12,000 by default. */
+    /** Sets the fixed time of every step; 12,000 by default. */
     public Builder stepMicros(double value) {
       stepMicros = value;
       return this;
     }
 
-    /** Sets the time for each sequence; 250 by default. */
+    /** Sets the time for each decoding sequence; 250 by default. */
     public Builder sequenceMicros(double value) {
       sequenceMicros = value;
       return this;
     }
 
-    /** Sets the time for each thousand tokens of context; 100 by default. */
+    /** Sets the time for every thousand context tokens; 100 by default. */
     public Builder kiloContextMicros(double value) {
       kiloContextMicros = value;
       return this;
     }
 
-    /** Sets the time for each token prefilled; 60 by default. */
+    /** Sets the time for each prefilled token; 60 by default. */
     public Builder prefillTokenMicros(double value) {
       prefillTokenMicros = value;
       return this;
     }
 
-    /** Sets the tokens that a step prefills at most; 512 by default. */
+    /** Sets the maximum number of tokens that a step prefills; 512 by default. */
     public Builder prefillChunkTokens(int value) {
       prefillChunkTokens = value;
       return this;
     }
 
-    /** Returns the checked values. */
+    /** Returns the settings after validation. */
     public EngineTiming build() {
       return new EngineTiming(
           stepMicros, sequenceMicros, kiloContextMicros, prefillTokenMicros, prefillChunkTokens);
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/LoadReport.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/LoadReport.java
@@ -1,15 +1,16 @@
 package io.hawthornlb.standin.engine;
 
 /**
- * What an engine reports of its load.
+ * The load report of an engine.
  *
- * @param asOf when it was so
- * @param running sequences in slots
- * @param waiting sequences without a slot
- * @param slots how many can run
- * @param kvUsedTokens tokens reserved by running sequences
- * @param kvTotalTokens tokens that can be reserved
- * @param tokensPerSecond tokens generated a second of late
+ * @param asOf the time at which the engine had this load
+ * @param running the number of sequences that hold a slot
+ * @param waiting the number of sequences that wait for a slot
+ * @param slots the number of slots
+ * @param kvUsedTokens the number of KV cache tokens reserved by running sequences
+ * @param kvTotalTokens the KV cache capacity in tokens
+ * @param tokensPerSecond the number of tokens generated per second, averaged over about the last
+ *     second
  */
 public record LoadReport(
     String asOf,
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/PrefixCache.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/PrefixCache.java
@@ -4,26 +4,36 @@
 import java.util.Collections;
 import java.util.List;
 
-/** The bounded memory of prompt prefixes that need no prefill. Confined to one thread. */
+/**
+ * A bounded cache of prompt prefixes. Tokens of a cached prefix need no prefill.
+ *
+ * <p>Not thread-safe: one thread makes all calls.
+ */
 public interface PrefixCache {
 
-  /** Returns how many tokens of the longest cached prefix a prompt may skip, and marks its use. */
+  /**
+   * Returns the number of tokens in the longest cached prefix of a prompt, or 0 if none is cached.
+   * Marks all cached prefixes of the prompt as recently used.
+   */
   int lookup(Prompt prompt);
 
-  /** Stores the prefixes of a prompt that has been prefilled; the least recently used go. */
+  /**
+   * Stores the prefixes of a prompt that has been prefilled, and evicts the least recently used
+   * prefixes if the cache exceeds its capacity.
+   */
   void store(Prompt prompt);
 
-  /** Forgets all prefixes, as loading another model does. */
+  /** Removes all prefixes; the engine does so when it loads another model. */
   void clear();
 
-  /** Learns what is stored and what goes. */
+  /** Receives the changes of a cache. */
   interface Listener {
 
-    /** Called for each change, in order; {@code stored} is false for an eviction. */
+    /** Handles a change; {@code stored} is false for an eviction. Changes arrive in order. */
     void changed(String prefixHash, boolean stored);
   }
 
-  /** Caches nothing. */
+  /** A cache that stores nothing. */
   PrefixCache NONE =
       new PrefixCache() {
         @Override
@@ -38,7 +48,7 @@
         public void clear() {}
       };
 
-  /** Returns the hashes of the prefixes of a prompt, longest first. */
+  /** Returns the prefixes of a prompt, longest first. */
   static List<Prompt.Prefix> longestFirst(Prompt prompt) {
     List<Prompt.Prefix> reversed = new ArrayList<>(prompt.prefixes());
     Collections.reverse(reversed);
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/Prompt.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/Prompt.java
@@ -8,26 +8,30 @@
 import java.util.List;
 
 /**
- * What an engine reads before it writes: the messages with their sizes and prefix hashes.
+ * The prompt of a request: the hash and token count of its messages and of their prefixes.
  *
- * @param hash the hash over all messages, which the answer begins with
- * @param tokens tokens of all messages
- * @param prefixes the prefixes that end with a message, shortest first, without the whole
+ * @param hash the hash over all messages; the answer starts with this hash
+ * @param tokens the number of tokens in all messages
+ * @param prefixes the prefixes that end at a message boundary, shortest first, without the complete
+ *     prompt
  */
 public record Prompt(String hash, int tokens, List<Prefix> prefixes) {
 
   private static final int HASH_LENGTH = 16;
   private static final int CHARACTERS_PER_TOKEN = 4;
 
-  /** A part of a prompt from its start, with the tokens in it. */
+  /** The hash and the token count of the first messages of a prompt. */
   public record Prefix(String hash, int tokens) {}
 
-  /** Copies the prefixes. */
+  /** Creates a prompt with an immutable copy of the prefixes. */
   public Prompt {
     prefixes = List.copyOf(prefixes);
   }
 
-  /** Reads messages; each four characters of a message count as a token, and each has one more. */
+  /**
+   * Creates a prompt from messages. A message counts as one token plus one token for every four
+   * characters of its content.
+   */
   public static Prompt of(List<ChatMessage> messages) {
     MessageDigest digest = sha256();
     List<Prefix> prefixes = new ArrayList<>();
@@ -50,7 +54,8 @@
       MessageDigest copy = (MessageDigest) digest.clone();
       return HexFormat.of().formatHex(copy.digest()).substring(0, HASH_LENGTH);
     } catch (CloneNotSupportedException e) {
-      throw new IllegalStateException("this Java cannot copy a SHA-256", e);
+      throw new IllegalStateException(
+          "the SHA-256 implementation of this Java runtime cannot be cloned", e);
     }
   }
 
@@ -58,7 +63,7 @@
     try {
       return MessageDigest.getInstance("SHA-256");
     } catch (NoSuchAlgorithmException e) {
-      throw new IllegalStateException("this Java lacks SHA-256", e);
+      throw new IllegalStateException("this Java runtime does not support SHA-256", e);
     }
   }
 }
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/StreamListener.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/StreamListener.java
@@ -1,19 +1,19 @@
 package io.hawthornlb.standin.engine;
 
-/** Reads a stream of tokens; must not block. */
+/** Receives the tokens of a stream. Implementations must not block. */
 public interface StreamListener {
 
-  /** Called for each token, in order. */
+  /** Handles a token. Tokens arrive in order. */
   void token(int index);
 
-  /** Called once, after the last token. */
+  /** Handles the end of the stream. Called once, after the last token. */
   void end(Ending ending);
 
-  /** How a stream ended. */
+  /** The reason why a stream ended. */
   enum Ending {
-    /** All tokens are there. */
+    /** All tokens have been generated. */
     COMPLETE,
-    /** Somebody cancelled it; it can be resumed for a time. */
+    /** The stream was cancelled. It can be resumed for a limited time. */
     CANCELLED
   }
 }
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/package-info.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/package-info.java
@@ -1,4 +1,4 @@
-/** The stand-in of a model engine: an emulator with continuous batching. */
+/** The stand-in for a model engine: an emulator with continuous batching. */
 @NullMarked
 package io.hawthornlb.standin.engine;
 
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/support/CacheEventFeed.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/support/CacheEventFeed.java
@@ -11,22 +11,25 @@
 import java.util.List;
 import java.util.Random;
 
-/** Publishes cache changes late, and leaves some out. Safe for use by many threads. */
+/**
+ * Publishes the changes of a prefix cache with a delay and drops a share of them, as set in {@link
+ * EngineReports}. A dropped event leaves a gap in the sequence numbers. Thread-safe.
+ */
 final class CacheEventFeed implements PrefixCache.Listener {
 
   private static final int PERCENT = 100;
-  private static final int PAGE = 1_000;
+  private static final int MAX_PAGE_SIZE = 1_000;
 
   private final EngineReports settings;
   private final InstantSource clock;
-  private final Random lost;
+  private final Random lossRandom;
   private final Deque<Dated> events = new ArrayDeque<>();
   private long nextSeq;
 
-  /** A change of the cache. */
+  /** A change of the cache; {@code kind} is {@code stored} or {@code evicted}. */
   record Event(long seq, String prefix, String kind) {}
 
-  /** Changes in order, and where to read on. */
+  /** Events in order, and the sequence number to continue from. */
   record Page(List<Event> events, long nextSeq) {}
 
   private record Dated(Instant at, Event event) {}
@@ -34,13 +37,13 @@
   CacheEventFeed(EngineReports settings, InstantSource clock) {
     this.settings = settings;
     this.clock = clock;
-    this.lost = new Random(settings.seed());
+    this.lossRandom = new Random(settings.seed());
   }
 
   @Override
   public synchronized void changed(String prefixHash, boolean stored) {
     long seq = nextSeq++;
-    if (lost.nextInt(PERCENT) < settings.cacheEventLossPercent()) {
+    if (lossRandom.nextInt(PERCENT) < settings.cacheEventLossPercent()) {
       return;
     }
     events.addLast(
@@ -50,12 +53,13 @@
     }
   }
 
-  /** Returns the events that readers can see, from a number on. */
+  /** Returns the readable events whose sequence number is at least {@code seq}. */
   synchronized Page from(long seq) {
-    Instant horizon = clock.instant().minus(Duration.ofMillis(settings.cacheEventLagMillis()));
+    Instant newestReadable =
+        clock.instant().minus(Duration.ofMillis(settings.cacheEventLagMillis()));
     List<Event> page = new ArrayList<>();
     for (Dated dated : events) {
-      if (dated.at().isAfter(horizon) || page.size() == PAGE) {
+      if (dated.at().isAfter(newestReadable) || page.size() == MAX_PAGE_SIZE) {
         break;
       }
       if (dated.event().seq() >= seq) {
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/support/ChatController.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/support/ChatController.java
@@ -25,7 +25,7 @@
 import java.util.concurrent.Executor;
 import org.jspecify.annotations.Nullable;
 
-/** Chat completions and their streams over HTTP. */
+/** Serves chat completions and their streams over HTTP. */
 @Controller("/v1")
 @Requires(property = StandinServer.ROLE_PROPERTY, value = EngineStandin.ROLE)
 final class ChatController {
@@ -36,7 +36,7 @@
     this.engine = engine;
   }
 
-  /** The tokens that a cancelled stream has. */
+  /** The response to a cancellation: the number of tokens generated so far. */
   record Cancelled(int generated) {}
 
   @Post(uri = "/chat/completions", produces = MediaType.ALL)
@@ -47,8 +47,8 @@
     String id = requestId == null ? UUID.randomUUID().toString() : requestId;
     TokenStream stream = engine.submit(request, id);
     return request.stream()
-        ? CompletableFuture.completedFuture(StreamAnswers.events(stream, 0, eventLoop(http)))
-        : StreamAnswers.whole(stream);
+        ? CompletableFuture.completedFuture(StreamResponses.events(stream, 0, eventLoop(http)))
+        : StreamResponses.whole(stream);
   }
 
   @Get(uri = "/streams/{requestId}", produces = MediaType.ALL)
@@ -59,7 +59,7 @@
     Optional<TokenStream> stream = engine.resume(requestId);
     HttpResponse<?> answer =
         stream.isPresent()
-            ? StreamAnswers.events(stream.get(), from, eventLoop(http))
+            ? StreamResponses.events(stream.get(), from, eventLoop(http))
             : unknown(requestId);
     return CompletableFuture.completedFuture(answer);
   }
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/support/ChatWire.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/support/ChatWire.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.jspecify.annotations.Nullable;
 
-/** The bodies of answers in the shape of the chat completion protocol. */
+/** Creates the response bodies of the chat completion protocol. */
 final class ChatWire {
 
   private static final String FINISHED = "length";
@@ -18,21 +18,21 @@
 
   private ChatWire() {}
 
-  /** A whole answer. */
+  /** The body of a response that is not streamed. */
   record Completion(
       String id, String object, long created, String model, List<Choice> choices, Usage usage) {}
 
-  /** The only choice of a whole answer. */
+  /** The only choice of a completion. */
   record Choice(
       int index, ChatMessage message, @JsonProperty("finish_reason") String finishReason) {}
 
-  /** Counts of tokens. */
+  /** The token counts of a request. */
   record Usage(
       @JsonProperty("prompt_tokens") int promptTokens,
       @JsonProperty("completion_tokens") int completionTokens,
       @JsonProperty("total_tokens") int totalTokens) {}
 
-  /** A part of a stream. */
+  /** One event of a streamed response. */
   @JsonInclude(JsonInclude.Include.NON_NULL)
   record Chunk(
       String id,
@@ -47,11 +47,11 @@
   record DeltaChoice(
       int index, Delta delta, @JsonProperty("finish_reason") @Nullable String finishReason) {}
 
-  /** What a chunk adds. */
+  /** The part of the answer that a chunk adds. */
   @JsonInclude(JsonInclude.Include.NON_NULL)
   record Delta(@Nullable String role, @Nullable String content) {}
 
-  /** Returns the whole answer. */
+  /** Returns the body with the complete answer. */
   static Completion whole(TokenStream stream) {
     String text = AnswerText.whole(stream.prompt().hash(), stream.total());
     return new Completion(
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/support/DefaultBatchScheduler.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/support/DefaultBatchScheduler.java
@@ -10,7 +10,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** Keeps sums of the running sequences, so that a step costs time only by the batch. */
+/**
+ * A {@link BatchScheduler} that updates its totals over the running sequences incrementally, so
+ * that the computing time of a step depends on the size of the batch only.
+ */
 public final class DefaultBatchScheduler implements BatchScheduler {
 
   private final EngineTiming timing;
@@ -22,7 +25,7 @@
   private long decodingContext;
   private int decoding;
 
-  /** Starts without sequences. */
+  /** Creates a scheduler without sequences. */
   public DefaultBatchScheduler(EngineTiming timing, EngineMemory memory, PrefixCache cache) {
     this.timing = timing;
     this.memory = memory;
@@ -43,7 +46,7 @@
     if (sequence == null) {
       return false;
     }
-    free(sequence);
+    release(sequence);
     return true;
   }
 
@@ -91,7 +94,10 @@
     return sequence.prompt().tokens() + sequence.done() - cached;
   }
 
-  /** Gives each sequence its part of the step and returns the tokens prefilled. */
+  /**
+   * Decodes or prefills each running sequence and adds the ids of sequences that got a token to
+   * {@code tokens}. Returns the number of prefilled tokens.
+   */
   private int advance(List<String> tokens) {
     int budget = timing.prefillChunkTokens();
     for (Running sequence : running.values()) {
@@ -120,7 +126,7 @@
       Running sequence = running.get(id);
       if (sequence.done >= sequence.spec.total()) {
         running.remove(id);
-        free(sequence);
+        release(sequence);
         finished.add(id);
       }
     }
@@ -132,7 +138,7 @@
     decodingContext += sequence.context();
   }
 
-  private void free(Running sequence) {
+  private void release(Running sequence) {
     kvUsed -= sequence.spec.finalContext();
     if (sequence.toPrefill == 0) {
       decoding--;
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/support/EngineController.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/support/EngineController.java
@@ -17,7 +17,7 @@
 import io.micronaut.http.annotation.Post;
 import io.micronaut.http.annotation.QueryValue;
 
-/** Reports, KV cache and orders over HTTP. */
+/** Serves load reports, cache events, KV exports, orders and the engine state over HTTP. */
 @Controller("/v1")
 @Requires(property = StandinServer.ROLE_PROPERTY, value = EngineStandin.ROLE)
 final class EngineController {
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/support/EngineEmulator.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/support/EngineEmulator.java
@@ -23,7 +23,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.jspecify.annotations.Nullable;
 
-/** One emulated engine, as its protocol sees it. Safe for use by many threads. */
+/** An emulated engine: the operations behind the HTTP controllers. Thread-safe. */
 public final class EngineEmulator implements AutoCloseable {
 
   private final EngineSettings settings;
@@ -31,14 +31,17 @@
   private final CacheEventFeed cacheEvents;
   private final LaggingValue<Load> load;
   private final EngineLoop loop;
-  private final ModelShelf shelf;
-  private final OrderTaker orders;
+  private final LoadedModels loadedModels;
+  private final OrderHandler orders;
   private final WeightFetcher weights;
   private final AtomicInteger inProgress = new AtomicInteger();
 
   private record Load(BatchLoad batch, double tokensPerSecond) {}
 
-  /** Starts idle; of the faults, it brings about those that concern reports. */
+  /**
+   * Creates and starts an idle engine. The engine itself applies only {@link
+   * FaultKind#LAG_REPORTS}; the server and the announcer apply the others.
+   */
   public EngineEmulator(EngineSettings settings, FaultBoard faults, InstantSource clock) {
     this.settings = settings;
     var memory = settings.memory();
@@ -54,16 +57,17 @@
             TimeUnit.MILLISECONDS.toNanos(memory.detachedMillis()),
             this::publishLoad,
             this::ended);
-    this.shelf = new ModelShelf(settings.models());
+    this.loadedModels = new LoadedModels(settings.models());
     this.weights = new WeightFetcher(settings.identity().platform());
-    this.orders = new OrderTaker(settings.orders(), shelf, loop, weights, cache::clear);
+    this.orders = new OrderHandler(settings.orders(), loadedModels, loop, weights, cache::clear);
     loop.start();
   }
 
   /**
-   * Starts to answer a request.
+   * Submits a request and returns the stream of its answer.
    *
-   * @throws EngineRefusalException if the engine does not run it
+   * @throws EngineRefusalException if the request is invalid, its model is not loaded, a stream
+   *     with the same id is running, or too many requests wait
    */
   TokenStream submit(ChatRequest request, String requestId) {
     if (request.messages() == null || request.messages().isEmpty()) {
@@ -72,7 +76,7 @@
     checkModel(request.model());
     Prompt prompt = Prompt.of(request.messages());
     int total =
-        request.maxTokens() == null ? AnswerText.naturalLength(prompt.hash()) : request.maxTokens();
+        request.maxTokens() == null ? AnswerText.defaultLength(prompt.hash()) : request.maxTokens();
     checkSize(prompt, total);
     TokenStream stream =
         new TokenStream(
@@ -86,7 +90,7 @@
     return stream;
   }
 
-  /** Returns a stream, and lets it run again when it was cancelled. */
+  /** Returns a stream, and resumes the stream if it was cancelled. */
   Optional<TokenStream> resume(String requestId) {
     Optional<TokenStream> found = streams.find(requestId);
     found.ifPresent(
@@ -99,7 +103,10 @@
     return found;
   }
 
-  /** Cancels a stream and returns how many tokens it has; empty when there is none. */
+  /**
+   * Cancels a stream and returns the number of tokens generated so far, or empty if no stream has
+   * this id.
+   */
   Optional<Integer> cancel(String requestId) {
     Optional<TokenStream> found = streams.find(requestId);
     return found.map(
@@ -114,7 +121,7 @@
         });
   }
 
-  /** Returns what moves a stream to another engine. */
+  /** Returns the state with which another engine can resume a stream. */
   Optional<KvExport> export(String requestId) {
     return streams
         .find(requestId)
@@ -132,9 +139,10 @@
   }
 
   /**
-   * Takes a stream of another engine over, to be resumed here.
+   * Imports a stream that was exported by another engine, so that a caller can resume it here.
    *
-   * @throws EngineRefusalException if the export does not fit
+   * @throws EngineRefusalException if the export is inconsistent, its model is not loaded, a stream
+   *     with the same id is running, or too many requests wait
    */
   void importStream(String requestId, KvExport export) {
     checkModel(export.model());
@@ -142,12 +150,12 @@
         TokenStream.imported(
             requestId, export.model(), export.messages(), export.maxTokens(), export.generated());
     checkSize(stream.prompt(), stream.total());
-    boolean fits =
+    boolean consistent =
         export.generated() >= 0
             && export.generated() <= export.maxTokens()
             && Base64.getDecoder().decode(export.kv()).length
                 == kvBytes(stream, export.generated());
-    if (!fits) {
+    if (!consistent) {
       throw new EngineRefusalException(HttpStatus.BAD_REQUEST, "the cache is not whole");
     }
     if (!streams.add(stream)) {
@@ -157,7 +165,7 @@
     streams.ended(stream);
   }
 
-  /** Returns the load as of a moment ago. */
+  /** Returns the load report, which is as old as the configured lag. */
   LoadReport load() {
     var visible = load.visible();
     BatchLoad batch = visible.value().batch();
@@ -176,14 +184,14 @@
   }
 
   void order(EngineOrder order) {
-    orders.take(order);
+    orders.handle(order);
   }
 
   EngineState state() {
     return orders.state();
   }
 
-  /** Returns how many streams run or wait. */
+  /** Returns the number of streams that run or wait for a slot. */
   public int inProgress() {
     return inProgress.get();
   }
@@ -214,7 +222,7 @@
 
   private void checkModel(@Nullable String model) {
     boolean known =
-        model != null && (model.equals(settings.identity().service()) || shelf.has(model));
+        model != null && (model.equals(settings.identity().service()) || loadedModels.has(model));
     if (!known) {
       throw new EngineRefusalException(HttpStatus.NOT_FOUND, "no model " + model);
     }
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/support/EngineLoop.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/support/EngineLoop.java
@@ -15,14 +15,15 @@
 import java.util.function.Consumer;
 
 /**
- * Runs the steps of a scheduler in time, on one thread.
+ * Runs the steps of a scheduler in real time on one thread.
  *
- * <p>Step times add up from the end of the step before, so that late wake-ups do not make the
- * engine slower than its settings say.
+ * <p>The loop computes the due time of a step from the due time of the previous step, not from the
+ * time at which the thread woke up. Late wake-ups therefore do not make the engine slower than its
+ * settings say.
  */
 final class EngineLoop implements AutoCloseable {
 
-  private static final long MOST_BEHIND_NANOS = 50_000_000;
+  private static final long MAX_BEHIND_NANOS = 50_000_000;
 
   private final BatchScheduler scheduler;
   private final long detachedNanos;
@@ -63,7 +64,7 @@
     thread.start();
   }
 
-  /** Lets a stream run from the token that it has reached. */
+  /** Adds a stream to the scheduler; generation continues after its last generated token. */
   void submit(TokenStream stream, boolean contextReady) {
     Run run = new Run(stream, stream.run());
     int done = stream.generated();
@@ -75,7 +76,7 @@
         });
   }
 
-  /** Takes a cancelled stream out of its slot. */
+  /** Removes a cancelled stream from the scheduler. */
   void remove(TokenStream stream) {
     Run run = new Run(stream, stream.run());
     execute(
@@ -85,7 +86,7 @@
         });
   }
 
-  /** Does something between two steps. */
+  /** Runs a command on the thread of the loop, between two steps. */
   void execute(Runnable command) {
     lock.lock();
     try {
@@ -96,17 +97,20 @@
     }
   }
 
-  /** Lets all sequences stand still for a time from now. */
+  /** Pauses all sequences for the given time from now. */
   void pause(long nanos) {
     pausedUntilNanos = System.nanoTime() + nanos;
   }
 
-  /** Returns the load; called on the loop's thread only. */
+  /** Returns the load. Call this method on the thread of the loop only. */
   BatchScheduler.BatchLoad load() {
     return scheduler.load();
   }
 
-  /** Returns the tokens a second of late; called on the loop's thread only. */
+  /**
+   * Returns the number of tokens generated per second, averaged over about the last second. Call
+   * this method on the thread of the loop only.
+   */
   double tokensPerSecond() {
     return rate.at(System.nanoTime());
   }
@@ -126,7 +130,7 @@
         due = System.nanoTime();
       }
       Step step = scheduler.step();
-      long earliest = System.nanoTime() - MOST_BEHIND_NANOS;
+      long earliest = System.nanoTime() - MAX_BEHIND_NANOS;
       due = Math.max(due, earliest) + step.nanos();
       sleepUntil(due);
       deliver(step);
@@ -134,7 +138,10 @@
     }
   }
 
-  /** Waits for a command when nothing is to do, and returns whether it waited. */
+  /**
+   * Runs the queued commands. If there are no streams to run, waits for a command first. Returns
+   * whether there were no streams.
+   */
   private boolean runCommands() {
     List<Runnable> taken;
     boolean idle = runs.isEmpty();
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/support/EngineRefusalHandler.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/support/EngineRefusalHandler.java
@@ -10,7 +10,7 @@
 import io.micronaut.http.server.exceptions.ExceptionHandler;
 import jakarta.inject.Singleton;
 
-/** Answers with the status of a refusal. */
+/** Turns an {@link EngineRefusalException} into an error response with its status. */
 @Singleton
 @Requires(property = StandinServer.ROLE_PROPERTY, value = EngineStandin.ROLE)
 final class EngineRefusalHandler
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/support/ModelShelf.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/support/LoadedModels.java
@@ -6,23 +6,29 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-/** What an engine has loaded and is loading. Safe for use by many threads. */
-final class ModelShelf {
+/**
+ * The models and adapters that an engine has loaded or is loading, its role, and the highest
+ * fencing number that it has received. Thread-safe.
+ */
+final class LoadedModels {
 
-  private static final String MIXED = "mixed";
+  private static final String DEFAULT_ROLE = "mixed";
 
   private final TreeMap<String, String> models = new TreeMap<>();
   private final TreeMap<String, String> adapters = new TreeMap<>();
   private final TreeSet<String> loading = new TreeSet<>();
-  private String role = MIXED;
+  private String role = DEFAULT_ROLE;
   private long lastFencing = -1;
 
-  ModelShelf(Collection<String> names) {
+  LoadedModels(Collection<String> names) {
     names.forEach(this::addNamed);
   }
 
-  /** Takes the fencing number of an order, and returns whether it is not older than the last. */
-  synchronized boolean fence(long fencing) {
+  /**
+   * Records the fencing number of an order and returns whether the number is at least as high as
+   * all numbers recorded before.
+   */
+  synchronized boolean recordFencing(long fencing) {
     boolean current = fencing >= lastFencing;
     lastFencing = Math.max(lastFencing, fencing);
     return current;
@@ -32,7 +38,7 @@
     return models.containsKey(name) || adapters.containsKey(name);
   }
 
-  /** Returns false when this is on its way already. */
+  /** Marks a version as being loaded; returns false if it was being loaded already. */
   synchronized boolean startLoading(String name, String version) {
     return loading.add(named(name, version));
   }
@@ -61,8 +67,8 @@
     models.put(name, at < 0 ? "" : named.substring(at + 1));
   }
 
-  private static List<String> names(TreeMap<String, String> shelf) {
-    return shelf.entrySet().stream().map(e -> named(e.getKey(), e.getValue())).toList();
+  private static List<String> names(TreeMap<String, String> versions) {
+    return versions.entrySet().stream().map(e -> named(e.getKey(), e.getValue())).toList();
   }
 
   private static String named(String name, String version) {
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/support/LruPrefixCache.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/support/LruPrefixCache.java
@@ -7,22 +7,25 @@
 import java.util.Map;
 
 /**
- * Evicts the least recently used prefix when the tokens exceed the limit.
+ * A {@link PrefixCache} that evicts the least recently used prefixes when their tokens exceed the
+ * limit.
  *
- * <p>A prefix costs only the tokens by which it exceeds the prefix before it. Longer prefixes are
- * touched before the shorter ones they rest on, so that they go first.
+ * <p>A prefix counts only the tokens that it adds to the next shorter prefix of the same prompt. An
+ * access touches longer prefixes before the shorter prefixes that they extend, so the longer
+ * prefixes are evicted first.
  */
 public final class LruPrefixCache implements PrefixCache {
 
-  private static final int INITIAL = 256;
+  private static final int INITIAL_CAPACITY = 256;
   private static final float LOAD_FACTOR = 0.75f;
 
   private final int maxTokens;
   private final Listener listener;
-  private final Map<String, Integer> costs = new LinkedHashMap<>(INITIAL, LOAD_FACTOR, true);
+  private final Map<String, Integer> costs =
+      new LinkedHashMap<>(INITIAL_CAPACITY, LOAD_FACTOR, true);
   private long tokens;
 
-  /** Starts empty. */
+  /** Creates an empty cache. */
   public LruPrefixCache(int maxTokens, Listener listener) {
     this.maxTokens = maxTokens;
     this.listener = listener;
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/support/OrderTaker.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/support/OrderHandler.java
@@ -9,36 +9,37 @@
 import java.util.concurrent.TimeUnit;
 import org.jspecify.annotations.Nullable;
 
-/** Takes orders: checks their fencing numbers and carries them out over time. */
-final class OrderTaker {
+/** Checks the fencing numbers of orders and executes the orders asynchronously. */
+final class OrderHandler {
 
   private final EngineOrders settings;
-  private final ModelShelf shelf;
+  private final LoadedModels loadedModels;
   private final EngineLoop loop;
   private final WeightFetcher weights;
   private final Runnable afterModelLoad;
 
-  OrderTaker(
+  OrderHandler(
       EngineOrders settings,
-      ModelShelf shelf,
+      LoadedModels loadedModels,
       EngineLoop loop,
       WeightFetcher weights,
       Runnable afterModelLoad) {
     this.settings = settings;
-    this.shelf = shelf;
+    this.loadedModels = loadedModels;
     this.loop = loop;
     this.weights = weights;
     this.afterModelLoad = afterModelLoad;
   }
 
   /**
-   * Starts to carry an order out.
+   * Starts to execute an order.
    *
-   * @throws EngineRefusalException if the order is malformed or, where checked, old
+   * @throws EngineRefusalException if the order is malformed, or if its fencing number is outdated
+   *     and the settings demand the check
    */
-  void take(EngineOrder order) {
+  void handle(EngineOrder order) {
     Runnable effect = effect(order);
-    boolean current = shelf.fence(order.fencing());
+    boolean current = loadedModels.recordFencing(order.fencing());
     if (!current && settings.checkFencing()) {
       throw new EngineRefusalException(
           HttpStatus.CONFLICT, "fencing number " + order.fencing() + " is old");
@@ -47,7 +48,7 @@
   }
 
   EngineState state() {
-    return shelf.state();
+    return loadedModels.state();
   }
 
   private Runnable effect(EngineOrder order) {
@@ -63,11 +64,11 @@
       }
       case "unload-model" -> {
         String model = required(order.model(), "model");
-        yield () -> shelf.unload(model);
+        yield () -> loadedModels.unload(model);
       }
       case "set-role" -> {
         String role = required(order.role(), "role");
-        yield () -> shelf.role(role);
+        yield () -> loadedModels.role(role);
       }
       default ->
           throw new EngineRefusalException(
@@ -76,7 +77,7 @@
   }
 
   private void load(String name, String version, boolean adapter) {
-    if (shelf.startLoading(name, version)) {
+    if (loadedModels.startLoading(name, version)) {
       weights.fetch(name, version).thenRun(() -> install(name, version, adapter));
     }
   }
@@ -89,7 +90,7 @@
     CompletableFuture.delayedExecutor(millis, TimeUnit.MILLISECONDS)
         .execute(
             () -> {
-              shelf.loaded(name, version, adapter);
+              loadedModels.loaded(name, version, adapter);
               if (!adapter) {
                 loop.execute(afterModelLoad);
               }
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/support/StreamAnswers.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/support/StreamResponses.java
@@ -12,17 +12,17 @@
 import reactor.core.publisher.FluxSink;
 import reactor.core.scheduler.Schedulers;
 
-/** Turns streams of tokens into HTTP answers. */
-final class StreamAnswers {
+/** Converts token streams to HTTP responses. */
+final class StreamResponses {
 
   private static final String DONE = "[DONE]";
 
-  private StreamAnswers() {}
+  private StreamResponses() {}
 
   /**
-   * Returns server-sent events for the tokens from an index on.
+   * Returns a response that sends the tokens from index {@code from} on as server-sent events.
    *
-   * @param eventLoop the thread of the connection
+   * @param eventLoop the event loop of the connection
    */
   static HttpResponse<Flux<Event<String>>> events(
       TokenStream stream, int from, Executor eventLoop) {
@@ -30,19 +30,20 @@
         Flux.create(
             sink -> {
               SinkListener listener = new SinkListener(stream, sink);
-              sink.onDispose(() -> stream.leave(listener));
-              stream.read(from, listener);
+              sink.onDispose(() -> stream.unsubscribe(listener));
+              stream.subscribe(from, listener);
             });
-    // Tokens change to the thread of the connection here. Otherwise one that comes while a caller
-    // hangs up reaches a response that is gone, which the server logs as an error.
+    // Tokens are published on the event loop of the connection. On another thread, a token that
+    // arrives while the caller disconnects would be written to a response that no longer exists,
+    // which the server logs as an error.
     Flux<Event<String>> onEventLoop = events.publishOn(Schedulers.fromExecutor(eventLoop));
     return HttpResponse.ok(onEventLoop).contentType(MediaType.TEXT_EVENT_STREAM_TYPE);
   }
 
-  /** Completes with the whole answer, or with an error when the stream is cancelled. */
+  /** Returns a future of the complete answer, or of an error if the stream is cancelled. */
   static CompletableFuture<HttpResponse<?>> whole(TokenStream stream) {
     CompletableFuture<HttpResponse<?>> answer = new CompletableFuture<>();
-    stream.read(
+    stream.subscribe(
         stream.total(),
         new StreamListener() {
           @Override
@@ -73,7 +74,7 @@
         sink.next(Event.of(ChatWire.end(stream)));
         sink.next(Event.of(DONE));
       }
-      // A cancelled stream ends without the mark of the end, so that no reader takes it for whole.
+      // A cancelled stream ends without the DONE event, so that no reader takes it for complete.
       sink.complete();
     }
   }
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/support/StreamStore.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/support/StreamStore.java
@@ -9,7 +9,10 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Finds streams by request id; ended ones for a limited time. Safe for use by many threads. */
+/**
+ * Stores streams by request id. Ended streams are kept for a limited time and up to a limited
+ * number. Thread-safe.
+ */
 final class StreamStore {
 
   private final Duration keep;
@@ -27,32 +30,33 @@
   }
 
   synchronized Optional<TokenStream> find(String id) {
-    dropOld();
+    removeExpired();
     return Optional.ofNullable(streams.get(id));
   }
 
-  /** Adds a stream unless one of the same id still runs; returns whether it was added. */
+  /** Adds a stream unless a stream with the same id is running; returns whether it was added. */
   synchronized boolean add(TokenStream stream) {
-    TokenStream before = streams.get(stream.id());
-    if (before != null && before.ending().isEmpty()) {
+    TokenStream previous = streams.get(stream.id());
+    if (previous != null && previous.ending().isEmpty()) {
       return false;
     }
     streams.put(stream.id(), stream);
     return true;
   }
 
-  /** Starts the time for which an ended stream is kept. */
+  /** Starts the retention time of an ended stream. */
   synchronized void ended(TokenStream stream) {
     ended.addLast(new Ended(stream, stream.run(), clock.instant()));
-    dropOld();
+    removeExpired();
   }
 
-  private void dropOld() {
-    Instant horizon = clock.instant().minus(keep);
+  private void removeExpired() {
+    Instant oldestKept = clock.instant().minus(keep);
     while (!ended.isEmpty()
-        && (ended.size() > maxKept || ended.getFirst().at().isBefore(horizon))) {
+        && (ended.size() > maxKept || ended.getFirst().at().isBefore(oldestKept))) {
       Ended oldest = ended.removeFirst();
-      // A stream that was resumed since runs again, or has ended again and is kept from then.
+      // A stream with another run number was resumed after this end. It is still running, or its
+      // retention time started again at its next end.
       if (oldest.stream().run() == oldest.run()) {
         streams.remove(oldest.stream().id(), oldest.stream());
       }
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/support/TokenRate.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/support/TokenRate.java
@@ -1,6 +1,6 @@
 package io.hawthornlb.standin.engine.support;
 
-/** A rate over about the last second. */
+/** The token rate as an exponentially weighted average over about the last second. */
 final class TokenRate {
 
   private static final double NANOS_PER_SECOND = 1e9;
@@ -8,13 +8,13 @@
   private double rate;
   private long updatedNanos;
 
-  /** Counts tokens that came at this time. */
+  /** Adds tokens that were generated at the given time. */
   void add(int tokens, long nowNanos) {
     rate = at(nowNanos) + tokens;
     updatedNanos = nowNanos;
   }
 
-  /** Returns the tokens a second. */
+  /** Returns the number of tokens per second at the given time. */
   double at(long nowNanos) {
     return rate * Math.exp(-(nowNanos - updatedNanos) / NANOS_PER_SECOND);
   }
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/support/TokenStream.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/support/TokenStream.java
@@ -9,10 +9,10 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * The answer to one request while it grows, and for a time after. Safe for use by many threads.
+ * The stream of tokens that answers one request. Thread-safe.
  *
- * <p>A stream that was cancelled and resumed runs again under another run number, so that a token
- * of the run before that is still under way does not count.
+ * <p>A resumed stream gets a new run number. The stream ignores tokens of an earlier run, which the
+ * engine may still deliver for the step that was in progress during the cancellation.
  */
 final class TokenStream {
 
@@ -21,7 +21,8 @@
   private final List<ChatMessage> messages;
   private final Prompt prompt;
   private final int total;
-  // A listener whose reader has gone leaves while it is told of a token, in the midst of the loop.
+  // A listener whose reader has disconnected unsubscribes during the call that notifies it of a
+  // token, while the stream iterates over this list.
   private final List<StreamListener> listeners = new CopyOnWriteArrayList<>();
   private int generated;
   private int run;
@@ -36,7 +37,7 @@
     this.total = total;
   }
 
-  /** Returns a stream that another engine began and that can be resumed here. */
+  /** Returns a stream that another engine has started and that can be resumed here. */
   static TokenStream imported(
       String id, String model, List<ChatMessage> messages, int total, int generated) {
     TokenStream stream = new TokenStream(id, model, messages, Prompt.of(messages), total);
@@ -77,23 +78,29 @@
     return ending;
   }
 
-  /** Replays the tokens from an index on, then passes on those to come, and the end. */
-  synchronized void read(int from, StreamListener listener) {
+  /**
+   * Replays the tokens generated so far from index {@code from} on, then notifies the listener of
+   * each token generated later and of the end.
+   */
+  synchronized void subscribe(int from, StreamListener listener) {
     for (int index = from; index < generated; index++) {
       listener.token(index);
     }
     ending.ifPresentOrElse(listener::end, () -> listeners.add(listener));
   }
 
-  /** Ends the reading of a listener that has gone. */
-  synchronized void leave(StreamListener listener) {
+  /** Removes a listener. */
+  synchronized void unsubscribe(StreamListener listener) {
     listeners.remove(listener);
     lastReadNanos = System.nanoTime();
   }
 
-  /** Adds a token of this run, and returns whether the run still counts. */
-  synchronized boolean add(int ofRun) {
-    if (ofRun != run || ending.isPresent()) {
+  /**
+   * Adds the next token and returns true. Does nothing and returns false if the token belongs to an
+   * earlier run or the stream has ended.
+   */
+  synchronized boolean add(int tokenRun) {
+    if (tokenRun != run || ending.isPresent()) {
       return false;
     }
     int index = generated++;
@@ -104,7 +111,7 @@
     return true;
   }
 
-  /** Cancels a stream that runs, and returns the tokens that it has. */
+  /** Cancels the stream if it is running; returns the number of tokens generated so far. */
   synchronized int cancel() {
     if (ending.isEmpty()) {
       end(Ending.CANCELLED);
@@ -112,7 +119,7 @@
     return generated;
   }
 
-  /** Lets a cancelled stream run again, and returns whether it was one. */
+  /** Starts a new run of a cancelled stream; returns false if the stream is not cancelled. */
   synchronized boolean resume() {
     if (!ending.equals(Optional.of(Ending.CANCELLED))) {
       return false;
@@ -123,14 +130,14 @@
     return true;
   }
 
-  /** Returns whether nobody has read the stream for this long. */
+  /** Returns whether the stream has had no listener for longer than the given time. */
   synchronized boolean detached(long nanos) {
     return listeners.isEmpty() && System.nanoTime() - lastReadNanos > nanos;
   }
 
-  private void end(Ending how) {
-    ending = Optional.of(how);
-    listeners.forEach(listener -> listener.end(how));
+  private void end(Ending reason) {
+    ending = Optional.of(reason);
+    listeners.forEach(listener -> listener.end(reason));
     listeners.clear();
   }
 }
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/support/WeightFetcher.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/support/WeightFetcher.java
@@ -13,23 +13,26 @@
 import java.util.concurrent.TimeUnit;
 import org.jspecify.annotations.Nullable;
 
-/** Reads weights from the platform, again and again until it gets them or is closed. */
+/** Downloads model weights from the platform and retries until it succeeds or is closed. */
 final class WeightFetcher implements AutoCloseable {
 
-  private static final Duration LIMIT = Duration.ofSeconds(10);
+  private static final Duration TIMEOUT = Duration.ofSeconds(10);
   private static final long RETRY_MILLIS = 1_000;
   private static final int OK = 200;
 
   private final String platform;
-  private final HttpClient client = HttpClient.newBuilder().connectTimeout(LIMIT).build();
+  private final HttpClient client = HttpClient.newBuilder().connectTimeout(TIMEOUT).build();
   private volatile boolean closed;
 
-  /** Does nothing when {@code platform} is blank. */
+  /** Creates a fetcher. If {@code platform} is blank, fetches complete at once. */
   WeightFetcher(String platform) {
     this.platform = platform;
   }
 
-  /** Completes when the weights are here; never when the fetcher is closed before. */
+  /**
+   * Returns a future that completes when the weights have arrived. The future never completes if
+   * the fetcher is closed before.
+   */
   CompletableFuture<Void> fetch(String model, String version) {
     CompletableFuture<Void> done = new CompletableFuture<>();
     if (platform.isBlank()) {
@@ -68,7 +71,7 @@
     URI uri =
         URI.create(
             "http://" + platform + "/weights/" + encode(model) + "?version=" + encode(version));
-    return HttpRequest.newBuilder(uri).timeout(LIMIT).build();
+    return HttpRequest.newBuilder(uri).timeout(TIMEOUT).build();
   }
 
   private static long retryMillis(@Nullable HttpResponse<Void> answer) {
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/support/package-info.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/support/package-info.java
@@ -1,4 +1,4 @@
-/** Scheduler, loop, prefix cache and controllers of the engine stand-in. */
+/** The scheduler, step loop, prefix cache and controllers of the engine stand-in. */
 @NullMarked
 package io.hawthornlb.standin.engine.support;
 
--- a/hawthornlb-standin/src/test/java/io/hawthornlb/standin/engine/EngineStandinTest.java
+++ b/hawthornlb-standin/src/test/java/io/hawthornlb/standin/engine/EngineStandinTest.java
@@ -64,7 +64,7 @@
   }
 
   @Test
-  void wholeAnswersFollowFromTheirRequests() throws IOException {
+  void completeAnswersDependOnTheRequestOnly() throws IOException {
     HttpResponse<String> answer = calls.post("/v1/chat/completions", chat("hello", 9, false));
     JsonNode body = WireJson.mapper().readTree(answer.body());
 
@@ -76,7 +76,7 @@
   }
 
   @Test
-  void streamsCountTheirTokensAndEndWithDone() throws IOException {
+  void streamsNumberTheirTokensAndEndWithDone() throws IOException {
     HttpResponse<String> answer =
         calls.post("/v1/chat/completions", chat("hello", 5, true), "X-Request-Id", "r-1");
     List<String> events = TestCalls.events(answer);
@@ -94,7 +94,7 @@
   }
 
   @Test
-  void cancelledStreamsKeepTheirTokensAndResumeWithTheSame() throws IOException {
+  void resumedStreamsReplayTheTokensGeneratedBeforeCancellation() throws IOException {
     HttpResponse<Stream<String>> reading = streamLines(chat("long story", 20_000, true), "r-1");
     Awaitility.await().until(() -> calls.json("/v1/load").path("running").asInt() == 1);
 
@@ -140,7 +140,7 @@
   }
 
   @Test
-  void exportedStreamsGoOnAtAnotherEngine() throws IOException {
+  void exportedStreamsContinueOnAnotherEngine() throws IOException {
     streamLines(chat("moved", 3_000, true), "r-1");
     Awaitility.await().until(() -> calls.json("/v1/load").path("running").asInt() == 1);
     calls.delete("/v1/streams/r-1");
@@ -156,7 +156,7 @@
   }
 
   @Test
-  void ordersAreFencedAndCarriedOut() throws IOException {
+  void ordersAreFencedAndExecuted() throws IOException {
     String load = "{\"fencing\":%d,\"action\":\"load-model\",\"model\":\"m\",\"version\":\"2\"}";
     engine.close();
     engine =
@@ -177,13 +177,13 @@
   }
 
   @Test
-  void enginesWithoutFencingCheckTakeOldOrders() throws IOException {
-    try (RunningStandin lax =
+  void enginesWithoutFencingCheckExecuteOutdatedOrders() throws IOException {
+    try (RunningStandin unfenced =
         EngineStandin.start(
             TestSettings.engine("e-2")
                 .orders(EngineOrders.builder().checkFencing(false).build())
                 .build())) {
-      TestCalls there = new TestCalls(lax);
+      TestCalls there = new TestCalls(unfenced);
       String role = "{\"fencing\":%d,\"action\":\"set-role\",\"role\":\"%s\"}";
       assertEquals(202, there.post("/v1/orders", role.formatted(7, "decode")).statusCode());
       assertEquals(202, there.post("/v1/orders", role.formatted(6, "prefill")).statusCode());
@@ -192,7 +192,7 @@
   }
 
   @Test
-  void badRequestsAreRefusedWithoutRunning() throws IOException {
+  void invalidRequestsAreRejectedWithoutRunning() throws IOException {
     assertEquals(400, calls.post("/v1/chat/completions", "{").statusCode());
     assertEquals(400, calls.post("/v1/chat/completions", "{\"model\":\"brief-llm\"}").statusCode());
     assertEquals(400, calls.post("/v1/chat/completions", chat("x", 0, false)).statusCode());
@@ -203,7 +203,7 @@
   }
 
   @Test
-  void cacheEventsHaveGapsAndNumbers() throws IOException {
+  void cacheEventsHaveSequenceNumbers() throws IOException {
     engine.close();
     engine =
         EngineStandin.start(
--- a/hawthornlb-standin/src/test/java/io/hawthornlb/standin/engine/support/BatchSchedulerTest.java
+++ b/hawthornlb-standin/src/test/java/io/hawthornlb/standin/engine/support/BatchSchedulerTest.java
@@ -19,7 +19,7 @@
 
 class BatchSchedulerTest {
 
-  private static final PrefixCache.Listener NOBODY = (hash, stored) -> {};
+  private static final PrefixCache.Listener NO_LISTENER = (hash, stored) -> {};
   private static final EngineTiming TIMING = EngineTiming.builder().prefillChunkTokens(64).build();
 
   private static SequenceSpec sequence(String id, int prefix, int length, int done, int total) {
@@ -33,15 +33,16 @@
 
   private static BatchScheduler scheduler(EngineMemory memory) {
     return new DefaultBatchScheduler(
-        TIMING, memory, new LruPrefixCache(memory.cacheTokens(), NOBODY));
+        TIMING, memory, new LruPrefixCache(memory.cacheTokens(), NO_LISTENER));
   }
 
   @Property(tries = 300, seed = "4711")
-  void doesWhatTheNaiveTwinDoes(@ForAll long seed) {
+  void matchesTheReferenceImplementation(@ForAll long seed) {
     EngineMemory memory = EngineMemory.builder().slots(4).kvTokens(600).cacheTokens(120).build();
     BatchScheduler tested = scheduler(memory);
     BatchScheduler naive =
-        new NaiveBatchScheduler(TIMING, memory, new LruPrefixCache(memory.cacheTokens(), NOBODY));
+        new NaiveBatchScheduler(
+            TIMING, memory, new LruPrefixCache(memory.cacheTokens(), NO_LISTENER));
     Random random = new Random(seed);
     int submitted = 0;
     for (int action = 0; action < 150; action++) {
@@ -68,7 +69,7 @@
   }
 
   @Test
-  void tokensOfABiggerBatchTakeLonger() {
+  void tokensOfALargerBatchTakeLonger() {
     assertTrue(decodeNanos(8) > decodeNanos(2));
     assertTrue(decodeNanos(2) > decodeNanos(1));
   }
@@ -86,14 +87,14 @@
   void cachedPrefixesShortenThePrefill() {
     BatchScheduler scheduler = scheduler(EngineMemory.builder().build());
     scheduler.submit(sequence("cold", 100, 40, 0, 1));
-    long cold = untilFinished(scheduler, "cold");
+    long cold = nanosUntilFinished(scheduler, "cold");
     scheduler.submit(sequence("warm", 100, 44, 0, 1));
-    long warm = untilFinished(scheduler, "warm");
+    long warm = nanosUntilFinished(scheduler, "warm");
 
-    assertTrue(warm < cold / 4, warm + " against " + cold);
+    assertTrue(warm < cold / 4, "warm: " + warm + " ns, cold: " + cold + " ns");
   }
 
-  private static long untilFinished(BatchScheduler scheduler, String id) {
+  private static long nanosUntilFinished(BatchScheduler scheduler, String id) {
     long nanos = 0;
     while (true) {
       Step step = scheduler.step();
--- a/hawthornlb-standin/src/test/java/io/hawthornlb/standin/engine/support/LruPrefixCacheTest.java
+++ b/hawthornlb-standin/src/test/java/io/hawthornlb/standin/engine/support/LruPrefixCacheTest.java
@@ -14,7 +14,7 @@
   private final LruPrefixCache cache =
       new LruPrefixCache(25, (hash, stored) -> events.add((stored ? "+" : "-") + hash));
 
-  /** Two messages of ten tokens each before the last one. */
+  /** Returns a prompt with two messages of ten tokens each before the last message. */
   private static Prompt prompt(String first, String second) {
     return Prompt.of(
         List.of(
@@ -33,7 +33,7 @@
   }
 
   @Test
-  void longPrefixesGoBeforeTheShortOnesTheyRestOn() {
+  void longPrefixesAreEvictedBeforeTheShorterOnesTheyExtend() {
     Prompt old = prompt("a", "b");
     cache.store(old);
     cache.store(prompt("a", "c"));
@@ -44,7 +44,7 @@
   }
 
   @Test
-  void clearForgetsAll() {
+  void clearRemovesAllPrefixes() {
     cache.store(prompt("a", "b"));
     cache.clear();
 
--- a/hawthornlb-standin/src/test/java/io/hawthornlb/standin/engine/support/NaiveBatchScheduler.java
+++ b/hawthornlb-standin/src/test/java/io/hawthornlb/standin/engine/support/NaiveBatchScheduler.java
@@ -7,7 +7,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Works every sum out anew in each step, from the words of the contract. */
+/**
+ * Reference implementation that follows the contract of {@link BatchScheduler} literally and
+ * recomputes every total in each step.
+ */
 final class NaiveBatchScheduler implements BatchScheduler {
 
   private final EngineTiming timing;
@@ -18,7 +21,7 @@
 
   private static final class Slot {
     private final SequenceSpec spec;
-    private int unread;
+    private int toPrefill;
     private int done;
 
     private Slot(SequenceSpec spec) {
@@ -49,24 +52,24 @@
     while (!waiting.isEmpty() && running.size() < memory.slots() && fits(waiting.get(0))) {
       Slot slot = new Slot(waiting.remove(0));
       if (!slot.spec.contextReady()) {
-        slot.unread = slot.spec.prompt().tokens() + slot.done - cache.lookup(slot.spec.prompt());
+        slot.toPrefill = slot.spec.prompt().tokens() + slot.done - cache.lookup(slot.spec.prompt());
       }
       running.add(slot);
     }
     if (running.isEmpty()) {
       return new Step(0, List.of(), List.of());
     }
-    List<Slot> decoding = running.stream().filter(slot -> slot.unread == 0).toList();
+    List<Slot> decoding = running.stream().filter(slot -> slot.toPrefill == 0).toList();
     long context =
         decoding.stream().mapToLong(slot -> slot.spec.prompt().tokens() + slot.done).sum();
     List<String> tokens = new ArrayList<>();
     int prefilled = 0;
     for (Slot slot : running) {
-      if (slot.unread > 0) {
-        int part = Math.min(slot.unread, timing.prefillChunkTokens() - prefilled);
+      if (slot.toPrefill > 0) {
+        int part = Math.min(slot.toPrefill, timing.prefillChunkTokens() - prefilled);
         prefilled += part;
-        slot.unread -= part;
-        if (slot.unread > 0) {
+        slot.toPrefill -= part;
+        if (slot.toPrefill > 0) {
           continue;
         }
         cache.store(slot.spec.prompt());
@@ -76,7 +79,7 @@
     }
     List<String> finished =
         running.stream()
-            .filter(slot -> slot.unread == 0 && slot.done >= slot.spec.total())
+            .filter(slot -> slot.toPrefill == 0 && slot.done >= slot.spec.total())
             .map(slot -> slot.spec.id())
             .toList();
     running.removeIf(slot -> finished.contains(slot.spec.id()));
--- a/hawthornlb-standin/src/test/java/io/hawthornlb/standin/engine/support/StreamStoreTest.java
+++ b/hawthornlb-standin/src/test/java/io/hawthornlb/standin/engine/support/StreamStoreTest.java
@@ -31,7 +31,7 @@
   }
 
   @Test
-  void endedStreamsGoAfterATimeAndBeyondACount() {
+  void endedStreamsAreRemovedAfterATimeAndBeyondACount() {
     cancelled("a");
     cancelled("b");
     cancelled("c");
@@ -43,11 +43,12 @@
   }
 
   /**
-   * A preempted stream was resumed and, at the end of the time that counted from its first
-   * cancellation, was gone although it ran: the next look at it said 404.
+   * Guards against the removal of a running stream. The retention time of a preempted stream starts
+   * at its cancellation. If the store ignores that the stream was resumed, it removes the stream at
+   * the end of this time although the stream is running, and the next request for it gets 404.
    */
   @Test
-  void resumedStreamsAreKeptAnew() {
+  void retentionTimeRestartsWhenAResumedStreamEnds() {
     TokenStream stream = cancelled("a");
     now.set(Instant.EPOCH.plusSeconds(9));
     assertTrue(stream.resume());
--- a/hawthornlb-standin/src/test/java/io/hawthornlb/standin/engine/support/TokenStreamTest.java
+++ b/hawthornlb-standin/src/test/java/io/hawthornlb/standin/engine/support/TokenStreamTest.java
@@ -17,49 +17,50 @@
   private static final List<ChatMessage> CHAT = List.of(new ChatMessage("user", "hello"));
 
   private final TokenStream stream = new TokenStream("r", "m", CHAT, Prompt.of(CHAT), 4);
-  private final List<String> seen = new ArrayList<>();
+  private final List<String> received = new ArrayList<>();
 
   private StreamListener listener(Runnable onEvent) {
     return new StreamListener() {
       @Override
       public void token(int index) {
-        seen.add("token " + index);
+        received.add("token " + index);
         onEvent.run();
       }
 
       @Override
       public void end(Ending ending) {
-        seen.add(ending.toString());
+        received.add(ending.toString());
         onEvent.run();
       }
     };
   }
 
   /**
-   * A caller hangs up while two read a stream: the reader that has gone leaves from within the
-   * token that finds it gone. The engine's loop broke on its own list of readers, and the call that
-   * cancelled the stream answered 500.
+   * Guards against a concurrent modification of the listener list. One of two readers disconnects
+   * and its listener unsubscribes during the notification that detects this. A plain list then
+   * fails in the engine loop, and the request that cancels the stream gets status 500.
    */
   @Test
-  void readersMayLeaveWhileTheyAreTold() {
-    StreamListener[] gone = new StreamListener[1];
-    gone[0] = listener(() -> stream.leave(gone[0]));
-    stream.read(0, gone[0]);
-    stream.read(0, listener(() -> {}));
+  void listenersMayUnsubscribeDuringANotification() {
+    StreamListener[] disconnected = new StreamListener[1];
+    disconnected[0] = listener(() -> stream.unsubscribe(disconnected[0]));
+    stream.subscribe(0, disconnected[0]);
+    stream.subscribe(0, listener(() -> {}));
 
     stream.add(0);
     stream.add(0);
     stream.cancel();
 
-    assertEquals(List.of("token 0", "token 0", "token 1", "CANCELLED"), seen);
+    assertEquals(List.of("token 0", "token 0", "token 1", "CANCELLED"), received);
   }
 
   /**
-   * A preempted stream is cancelled and resumed within one step of the engine. The token of the
-   * step that was under way counts for neither run; counted, the answer would end one token early.
+   * Guards against counting a token of an earlier run. A preempted stream is cancelled and resumed
+   * within one step of the engine. The token of that step belongs to neither run; if the stream
+   * counted it, the answer would end one token early.
    */
   @Test
-  void tokensOfTheRunBeforeDoNotCount() {
+  void tokensOfAnEarlierRunAreIgnored() {
     assertTrue(stream.add(0));
     assertEquals(1, stream.cancel());
     assertTrue(stream.resume());
@@ -70,13 +71,13 @@
   }
 
   @Test
-  void lateReadersGetAllFromTheirIndex() {
+  void lateListenersReceiveAllTokensFromTheirIndex() {
     for (int token = 0; token < 4; token++) {
       stream.add(0);
     }
-    stream.read(2, listener(() -> {}));
+    stream.subscribe(2, listener(() -> {}));
 
-    assertEquals(List.of("token 2", "token 3", "COMPLETE"), seen);
+    assertEquals(List.of("token 2", "token 3", "COMPLETE"), received);
     assertEquals(Optional.of(StreamListener.Ending.COMPLETE), stream.ending());
     assertFalse(stream.resume());
   }
