--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/platform/PlatformSettings.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/platform/PlatformSettings.java
@@ -5,19 +5,20 @@
 import io.hawthornlb.standin.support.SettingsChecks;
 
 /**
- * Limits of the platform stand-in.
+ * Settings of the platform stand-in.
  *
- * @param port the port on 127.0.0.1, or 0 for any free one
- * @param appendsPerSecond append calls a second over all streams
- * @param appendBurst append calls that may come at once
- * @param retentionMillis how long records are kept
- * @param retentionRecords how many records a stream keeps at most
- * @param instanceListLagMillis how old the instance list is
- * @param instanceTtlMillis how long an announcement lasts that is not repeated; 0 is for good
- * @param weightsPerSecond reads of the weight store a second
- * @param weightBurst reads of the weight store that may come at once
- * @param weightBytes size of each model's weights
- * @param eventLoopThreads threads that serve connections
+ * @param port the port on 127.0.0.1, or 0 for any free port
+ * @param appendsPerSecond the allowed append calls per second, over all streams
+ * @param appendBurst the append calls allowed in a burst
+ * @param retentionMillis the time in milliseconds for which records are kept
+ * @param retentionRecords the maximum number of records that a stream keeps
+ * @param instanceListLagMillis the age in milliseconds of the instance list that readers see
+ * @param instanceTtlMillis the time in milliseconds after which an announcement expires unless it
+ *     is repeated; 0 means that announcements never expire
+ * @param weightsPerSecond the allowed reads of the weight store per second
+ * @param weightBurst the reads of the weight store allowed in a burst
+ * @param weightBytes the size of each model's weights in bytes
+ * @param eventLoopThreads the number of threads that serve connections
  */
 @JsonDeserialize(builder = PlatformSettings.Builder.class)
 public record PlatformSettings(
@@ -33,7 +34,7 @@
     int weightBytes,
     int eventLoopThreads) {
 
-  /** Checks the values. */
+  /** Validates the components. */
   public PlatformSettings {
     SettingsChecks.isTrue(port >= 0 && port <= 65_535, "port must be 0 to 65535, was " + port);
     SettingsChecks.positive(appendsPerSecond, "appendsPerSecond");
@@ -48,12 +49,12 @@
     SettingsChecks.positive(eventLoopThreads, "eventLoopThreads");
   }
 
-  /** Returns a builder with the defaults. */
+  /** Returns a builder that holds the default values. */
   public static Builder builder() {
     return new Builder();
   }
 
-  /** Collects the values. */
+  /** Builds {@link PlatformSettings} instances. */
   @JsonPOJOBuilder(withPrefix = "")
   public static final class Builder {
 
@@ -77,55 +78,55 @@
       return this;
     }
 
-    /** Sets the append calls a second; 400 by default. */
+    /** Sets the allowed append calls per second; 400 by default. */
     public Builder appendsPerSecond(double value) {
       appendsPerSecond = value;
       return this;
     }
 
-    /** Sets the append calls that may come at once; 40 by default. */
+    /** Sets the append calls allowed in a burst; 40 by default. */
     public Builder appendBurst(double value) {
       appendBurst = value;
       return this;
     }
 
-    /** Sets how long records are kept; an hour by default. */
+    /** Sets how many milliseconds records are kept; an hour by default. */
     public Builder retentionMillis(long value) {
       retentionMillis = value;
       return this;
     }
 
-    /** Sets how many records a stream keeps; 200,000 by default. */
+    /** Sets how many records a stream keeps at most; 200,000 by default. */
     public Builder retentionRecords(int value) {
       retentionRecords = value;
       return this;
     }
 
-    /** Sets the age of the instance list; 1,000 by default. */
+    /** Sets the age of the instance list in milliseconds; 1,000 by default. */
     public Builder instanceListLagMillis(long value) {
       instanceListLagMillis = value;
       return this;
     }
 
-    /** Sets how long an announcement lasts; 10,000 by default. */
+    /** Sets how many milliseconds an announcement is valid; 10,000 by default. */
     public Builder instanceTtlMillis(long value) {
       instanceTtlMillis = value;
       return this;
     }
 
-    /** Sets the reads of weights a second; 0.5 by default. */
+    /** Sets the allowed reads of weights per second; 0.5 by default. */
     public Builder weightsPerSecond(double value) {
       weightsPerSecond = value;
       return this;
     }
 
-    /** Sets the reads of weights that may come at once; 1 by default. */
+    /** Sets the reads of weights allowed in a burst; 1 by default. */
     public Builder weightBurst(double value) {
       weightBurst = value;
       return this;
     }
 
-    /** Sets the size of weights; 65,536 by default. */
+    /** Sets the size of each model's weights in bytes; 65,536 by default. */
     public Builder weightBytes(int value) {
       weightBytes = value;
       return this;
@@ -137,7 +138,7 @@
       return this;
     }
 
-    /** Returns the checked values. */
+    /** Returns the settings after validation. */
     public PlatformSettings build() {
       return new PlatformSettings(
           port,
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/platform/PlatformStandin.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/platform/PlatformStandin.java
@@ -18,22 +18,22 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 
-/** Starts stand-ins of the platform. */
+/** Starts stand-ins for the platform. */
 public final class PlatformStandin {
 
-  /** The role of this kind of process. */
+  /** The value of {@link StandinServer#ROLE_PROPERTY} for platform stand-ins. */
   public static final String ROLE = "standin-platform";
 
-  private static final long SWEEP_MILLIS = 250;
+  private static final long EXPIRY_CHECK_MILLIS = 250;
 
   private PlatformStandin() {}
 
-  /** Starts a platform that ends the process when a request crashes it. */
+  /** Starts a platform that halts the process when a request triggers a crash fault. */
   public static RunningStandin start(PlatformSettings settings) {
     return start(settings, ProcessExit::crash);
   }
 
-  /** Starts a platform that calls {@code exit} when a request crashes it. */
+  /** Starts a platform that calls {@code exit} when a request triggers a crash fault. */
   public static RunningStandin start(PlatformSettings settings, Runnable exit) {
     InstantSource clock = InstantSource.system();
     FaultBoard faults = new FaultBoard(clock, exit);
@@ -63,8 +63,8 @@
     ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor();
     timer.scheduleAtFixedRate(
         () -> directory.expire(!faults.active(FaultKind.DOWN)),
-        SWEEP_MILLIS,
-        SWEEP_MILLIS,
+        EXPIRY_CHECK_MILLIS,
+        EXPIRY_CHECK_MILLIS,
         TimeUnit.MILLISECONDS);
     return new RunningPlatform(server, faults, timer);
   }
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/platform/RecordLog.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/platform/RecordLog.java
@@ -3,28 +3,32 @@
 import java.time.Instant;
 import java.util.List;
 
-/** Append-only streams of records with offsets from 0; each stream exists as soon as named. */
+/**
+ * Append-only streams of records. Offsets start at 0. A stream exists from the first call that
+ * names the stream.
+ */
 public interface RecordLog {
 
-  /** Appends records in order and returns the offset of the first. */
+  /** Appends records in order and returns the offset of the first record. */
   long append(String stream, List<byte[]> records);
 
-  /** Returns at most {@code max} records from an offset on; without any, an empty page. */
+  /** Returns at most {@code max} records from an offset on, or an empty page if none exist. */
   Page read(String stream, long from, int max);
 
-  /** A record as stored. */
+  /** A stored record. */
   record Stored(long offset, Instant appendedAt, byte[] data) {}
 
   /**
-   * Records in order.
+   * A page of records.
    *
-   * @param nextOffset where to read on
+   * @param records the records in order
+   * @param nextOffset the offset to continue reading from
    * @param firstOffset the lowest offset that is still kept
-   * @param expired whether the offset that was asked for is no longer kept
+   * @param expired whether the requested offset is no longer kept
    */
   record Page(List<Stored> records, long nextOffset, long firstOffset, boolean expired) {
 
-    /** Copies the records. */
+    /** Creates a page with an immutable copy of the records. */
     public Page {
       records = List.copyOf(records);
     }
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/platform/package-info.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/platform/package-info.java
@@ -1,4 +1,4 @@
-/** The stand-in of the platform: log, instance list and weight store. */
+/** The stand-in for the platform: record log, instance list and weight store. */
 @NullMarked
 package io.hawthornlb.standin.platform;
 
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/platform/support/AppendLimit.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/platform/support/AppendLimit.java
@@ -2,5 +2,5 @@
 
 import io.hawthornlb.standin.support.TokenBucket;
 
-/** The rate of append calls over all streams. */
+/** Limits the rate of append calls over all streams. */
 public record AppendLimit(TokenBucket bucket) {}
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/platform/support/AppendWaiters.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/platform/support/AppendWaiters.java
@@ -6,27 +6,28 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.TimeUnit;
 
-/** Wakes long polls when a stream grows. */
+/** Notifies long polls when records are appended to a stream. Thread-safe. */
 public final class AppendWaiters {
 
   private final Map<String, CompletableFuture<Void>> next = new ConcurrentHashMap<>();
 
-  /** Returns what completes at the next append to a stream. */
-  public CompletableFuture<Void> next(String stream) {
+  /** Returns a future that completes at the next append to a stream. */
+  public CompletableFuture<Void> nextAppend(String stream) {
     return next.computeIfAbsent(stream, unused -> new CompletableFuture<>());
   }
 
-  /** Completes what waits for this stream. */
-  public void wake(String stream) {
+  /** Completes the future of the next append to a stream. */
+  public void notifyAppended(String stream) {
     CompletableFuture<Void> waiting = next.remove(stream);
     if (waiting != null) {
       waiting.complete(null);
     }
   }
 
-  /** Returns what completes with {@code appended}, or after a limit. */
-  public CompletableFuture<Void> within(CompletableFuture<Void> appended, Duration limit) {
-    // A copy, as the time limit of one reader must not end the wait of the others.
+  /** Returns a future that completes with {@code appended} or after a time limit. */
+  public CompletableFuture<Void> withTimeout(CompletableFuture<Void> appended, Duration limit) {
+    // All readers of a stream share one future. The timeout of one reader completes a copy, so that
+    // the other readers keep waiting.
     return appended.copy().completeOnTimeout(null, limit.toMillis(), TimeUnit.MILLISECONDS);
   }
 }
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/platform/support/InMemoryRecordLog.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/platform/support/InMemoryRecordLog.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Keeps streams in memory, limited by age and count; safe for use by many threads. */
+/** A {@link RecordLog} in memory, limited by age and number of records. Thread-safe. */
 public final class InMemoryRecordLog implements RecordLog {
 
   private static final int COMPACT_AT = 1_024;
@@ -19,7 +19,10 @@
   private final InstantSource clock;
   private final Map<String, Stream> streams = new HashMap<>();
 
-  /** Keeps each stream's records for {@code retention}, at most {@code maxRecords} of them. */
+  /**
+   * Creates an empty log that keeps the records of a stream for {@code retention}, and at most
+   * {@code maxRecords} of them.
+   */
   public InMemoryRecordLog(Duration retention, int maxRecords, InstantSource clock) {
     this.retention = retention;
     this.maxRecords = maxRecords;
@@ -57,7 +60,11 @@
     return streams.computeIfAbsent(name, unused -> new Stream());
   }
 
-  /** Expired records stay at the head of the list until there are enough to drop at once. */
+  /**
+   * The records of one stream. Expired records stay at the head of the list until the list is
+   * compacted, which happens when at least {@link #COMPACT_AT} records, and more than half of the
+   * list, have expired.
+   */
   private final class Stream {
 
     private final List<Stored> kept = new ArrayList<>();
@@ -73,8 +80,8 @@
     }
 
     void expire(Instant now) {
-      Instant horizon = now.minus(retention);
-      while (size() > maxRecords || (size() > 0 && oldest().appendedAt().isBefore(horizon))) {
+      Instant oldestKept = now.minus(retention);
+      while (size() > maxRecords || (size() > 0 && oldest().appendedAt().isBefore(oldestKept))) {
         expired++;
       }
       if (expired >= COMPACT_AT && expired > size()) {
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/platform/support/InstanceController.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/platform/support/InstanceController.java
@@ -18,7 +18,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** The instance list over HTTP. */
+/** Serves the instance list over HTTP. */
 @Controller("/instances")
 @Requires(property = StandinServer.ROLE_PROPERTY, value = PlatformStandin.ROLE)
 final class InstanceController {
@@ -32,7 +32,7 @@
     this.directory = directory;
   }
 
-  /** The list with its age. */
+  /** The instance list with the time at which it was current. */
   record ListAnswer(String asOf, List<Announcement> instances) {}
 
   @Get
@@ -45,11 +45,11 @@
   @Consumes(MediaType.ALL)
   HttpResponse<byte[]> announce(@PathVariable String id, @Body byte[] body) {
     Announcement announcement = WireJson.read(body, Announcement.class);
-    boolean known =
+    boolean valid =
         KINDS.contains(String.valueOf(announcement.kind()))
             && STATES.contains(String.valueOf(announcement.state()))
             && announcement.address() != null;
-    if (!known || !id.equals(announcement.id())) {
+    if (!valid || !id.equals(announcement.id())) {
       return WireJson.error(HttpStatus.BAD_REQUEST, "id, kind, state or address does not fit");
     }
     directory.put(announcement);
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/platform/support/InstanceDirectory.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/platform/support/InstanceDirectory.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The list of announced processes, which readers see late. */
+/** The list of announced processes. Readers see the list with a lag. */
 public final class InstanceDirectory {
 
   private final InstantSource clock;
@@ -20,10 +20,11 @@
   private final LaggingValue<List<Announcement>> visible;
 
   /**
-   * Starts empty.
+   * Creates an empty directory.
    *
-   * @param lag how old the list is that readers see
-   * @param ttl how long an announcement lasts that is not repeated; zero is for good
+   * @param lag the age of the list that readers see
+   * @param ttl the time after which an announcement expires unless it is repeated; zero means that
+   *     announcements never expire
    */
   public InstanceDirectory(Duration lag, Duration ttl, InstantSource clock) {
     this.clock = clock;
@@ -31,16 +32,16 @@
     this.visible = new LaggingValue<>(List.of(), lag, clock);
   }
 
-  /** Adds or replaces an announcement. */
+  /** Adds, replaces or renews an announcement. */
   public synchronized void put(Announcement announcement) {
     renewed.put(announcement.id(), clock.instant());
-    Announcement before = announced.put(announcement.id(), announcement);
-    if (!announcement.equals(before)) {
+    Announcement previous = announced.put(announcement.id(), announcement);
+    if (!announcement.equals(previous)) {
       publish();
     }
   }
 
-  /** Withdraws an announcement; does nothing when there is none. */
+  /** Removes an announcement; does nothing if the id is not announced. */
   public synchronized void remove(String id) {
     renewed.remove(id);
     if (announced.remove(id) != null) {
@@ -48,15 +49,16 @@
     }
   }
 
-  /** Returns the list as of a moment ago. */
+  /** Returns the newest list that is at least as old as the lag, with its time. */
   public LaggingValue.Dated<List<Announcement>> visible() {
     return visible.visible();
   }
 
   /**
-   * Drops announcements that were not repeated in time.
+   * Removes the announcements that have expired.
    *
-   * @param reachable whether processes could announce themselves lately
+   * @param reachable whether processes can reach the platform at present; if false, all
+   *     announcements are renewed and none is removed
    */
   public synchronized void expire(boolean reachable) {
     if (ttl.isZero()) {
@@ -64,16 +66,18 @@
     }
     Instant now = clock.instant();
     if (!reachable) {
-      // An outage of the platform says nothing about the processes, which must not all vanish.
-      renewed.replaceAll((id, before) -> now);
+      // Processes cannot repeat their announcements during an outage of the platform. Without this
+      // renewal all announcements would expire at the end of the outage, although the processes
+      // run.
+      renewed.replaceAll((id, previous) -> now);
       return;
     }
-    List<String> gone =
+    List<String> expired =
         renewed.entrySet().stream()
             .filter(entry -> entry.getValue().plus(ttl).isBefore(now))
             .map(Map.Entry::getKey)
             .toList();
-    gone.forEach(this::remove);
+    expired.forEach(this::remove);
   }
 
   private void publish() {
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/platform/support/LogController.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/platform/support/LogController.java
@@ -22,12 +22,12 @@
 import java.util.concurrent.CompletableFuture;
 import org.jspecify.annotations.Nullable;
 
-/** The log over HTTP. */
+/** Serves the record log over HTTP. */
 @Controller("/log")
 @Requires(property = StandinServer.ROLE_PROPERTY, value = PlatformStandin.ROLE)
 final class LogController {
 
-  private static final int MAX_PAGE = 5_000;
+  private static final int MAX_PAGE_SIZE = 5_000;
   private static final long MAX_WAIT_MILLIS = 30_000;
 
   private final RecordLog log;
@@ -40,19 +40,19 @@
     this.waiters = waiters;
   }
 
-  /** The body of an append: records in base64. */
+  /** The body of an append request: records in base64. */
   record AppendBody(@Nullable List<String> records) {}
 
-  /** Where the records went. */
+  /** The response to an append: the offset of the first record and the number of records. */
   record Appended(long firstOffset, int count) {}
 
-  /** A record as it is read. */
+  /** A record in a read response, with its data in base64. */
   record ReadRecord(long offset, String appendedAt, String data) {}
 
-  /** A page of records. */
+  /** The response to a read: records, and the offset to continue reading from. */
   record ReadPage(List<ReadRecord> records, long nextOffset, long firstOffset) {}
 
-  /** The lowest offset that is still kept. */
+  /** The response to a read of an expired offset: the lowest offset that is still kept. */
   record Expired(long firstOffset) {}
 
   @Post("/{stream}/records")
@@ -68,7 +68,7 @@
       return tooMany(wait);
     }
     long first = log.append(stream, records);
-    waiters.wake(stream);
+    waiters.notifyAppended(stream);
     return WireJson.ok(new Appended(first, records.size()));
   }
 
@@ -78,15 +78,15 @@
       @QueryValue(defaultValue = "0") long from,
       @QueryValue(defaultValue = "500") int max,
       @QueryValue(defaultValue = "0") long waitMillis) {
-    int bounded = Math.max(1, Math.min(max, MAX_PAGE));
-    CompletableFuture<Void> appended = waiters.next(stream);
+    int bounded = Math.max(1, Math.min(max, MAX_PAGE_SIZE));
+    CompletableFuture<Void> appended = waiters.nextAppend(stream);
     RecordLog.Page page = log.read(stream, from, bounded);
     if (!page.records().isEmpty() || page.expired() || waitMillis <= 0) {
       return CompletableFuture.completedFuture(answer(page));
     }
     long wait = Math.min(waitMillis, MAX_WAIT_MILLIS);
     return waiters
-        .within(appended, Duration.ofMillis(wait))
+        .withTimeout(appended, Duration.ofMillis(wait))
         .thenApply(unused -> answer(log.read(stream, from, bounded)));
   }
 
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/platform/support/WeightController.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/platform/support/WeightController.java
@@ -12,7 +12,7 @@
 import java.time.Duration;
 import java.util.Random;
 
-/** The weight store over HTTP. */
+/** Serves the weight store over HTTP. */
 @Controller("/weights")
 @Requires(property = StandinServer.ROLE_PROPERTY, value = PlatformStandin.ROLE)
 final class WeightController {
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/platform/support/WeightStore.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/platform/support/WeightStore.java
@@ -3,9 +3,9 @@
 import io.hawthornlb.standin.support.TokenBucket;
 
 /**
- * The weights of any model, all of one size.
+ * The settings of the weight store, which serves weights of the same size for every model name.
  *
- * @param bucket the rate of reads
- * @param bytes the size of an answer
+ * @param bucket limits the rate of reads
+ * @param bytes the size of the weights in bytes
  */
 public record WeightStore(TokenBucket bucket, int bytes) {}
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/platform/support/package-info.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/platform/support/package-info.java
@@ -1,4 +1,4 @@
-/** In-memory stores and controllers of the platform stand-in. */
+/** The in-memory stores and the controllers of the platform stand-in. */
 @NullMarked
 package io.hawthornlb.standin.platform.support;
 
--- a/hawthornlb-standin/src/test/java/io/hawthornlb/standin/platform/InMemoryRecordLogTest.java
+++ b/hawthornlb-standin/src/test/java/io/hawthornlb/standin/platform/InMemoryRecordLogTest.java
@@ -22,13 +22,13 @@
   private final AtomicReference<Instant> now = new AtomicReference<>(Instant.EPOCH);
 
   @Property(tries = 100, seed = "4711")
-  void keepsWhatAListWouldKeep(@ForAll long seed) {
+  void matchesAPlainList(@ForAll long seed) {
     now.set(Instant.EPOCH);
     Random random = new Random(seed);
     RecordLog log = new InMemoryRecordLog(Duration.ofSeconds(10), 2_000, now::get);
     List<Instant> all = new ArrayList<>();
     for (int round = 0; round < 60; round++) {
-      now.updateAndGet(before -> before.plusMillis(random.nextInt(600)));
+      now.updateAndGet(time -> time.plusMillis(random.nextInt(600)));
       int count = 1 + random.nextInt(100);
       assertEquals(all.size(), log.append("s", records(all.size(), count)));
       all.addAll(Collections.nCopies(count, now.get()));
@@ -63,11 +63,12 @@
   }
 
   /**
-   * All endpoints vanished from the list at the end of an outage of the platform: none could repeat
-   * its announcement meanwhile, so all had run out at once although every process was alive.
+   * Guards against the loss of all announcements after an outage of the platform. No endpoint can
+   * repeat its announcement during the outage. If the outage counts towards the expiry, all
+   * announcements expire at once at its end although every process is alive.
    */
   @Test
-  void announcementsOutliveAnOutage() {
+  void announcementsDoNotExpireDuringAnOutage() {
     InstanceDirectory directory =
         new InstanceDirectory(Duration.ZERO, Duration.ofSeconds(10), now::get);
     directory.put(new Announcement("e", "endpoint", "s", "ruwi", "127.0.0.1:1", "live"));
--- a/hawthornlb-standin/src/test/java/io/hawthornlb/standin/platform/PlatformStandinTest.java
+++ b/hawthornlb-standin/src/test/java/io/hawthornlb/standin/platform/PlatformStandinTest.java
@@ -67,7 +67,7 @@
   }
 
   @Test
-  void appendsOverTheRateAreRefusedWithATimeToComeBack() throws IOException {
+  void appendsOverTheRateGet429WithRetryAfter() throws IOException {
     try (RunningStandin platform =
         start(PlatformSettings.builder().appendsPerSecond(0.01).appendBurst(2))) {
       TestCalls calls = new TestCalls(platform);
@@ -83,7 +83,7 @@
   }
 
   @Test
-  void readersOfExpiredOffsetsLearnTheFirstOneKept() throws IOException {
+  void readsOfExpiredOffsetsReturnTheFirstKeptOffset() throws IOException {
     try (RunningStandin platform = start(PlatformSettings.builder().retentionRecords(2))) {
       TestCalls calls = new TestCalls(platform);
       calls.post("/log/s/records", "{\"records\":[\"YQ==\",\"Yg==\",\"Yw==\"]}");
@@ -97,7 +97,7 @@
   }
 
   @Test
-  void malformedAppendsAreRefused() throws IOException {
+  void malformedAppendsAreRejected() throws IOException {
     try (RunningStandin platform = start(PlatformSettings.builder())) {
       TestCalls calls = new TestCalls(platform);
       for (String body : new String[] {"{", "{}", "{\"records\":[]}", "{\"records\":[\"*\"]}"}) {
@@ -107,7 +107,7 @@
   }
 
   @Test
-  void endpointsAnnounceThemselvesAndWithdraw() throws IOException {
+  void endpointsAnnounceAndWithdrawThemselves() throws IOException {
     try (RunningStandin platform = start(PlatformSettings.builder().instanceListLagMillis(0))) {
       TestCalls calls = new TestCalls(platform);
       StandinIdentity identity =
@@ -125,7 +125,7 @@
   }
 
   @Test
-  void weightsAreLimited() throws IOException {
+  void weightReadsAreRateLimited() throws IOException {
     try (RunningStandin platform =
         start(PlatformSettings.builder().weightsPerSecond(0.01).weightBytes(10))) {
       TestCalls calls = new TestCalls(platform);
