--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/service/CallCounter.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/service/CallCounter.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Counts how often each call ran, by its idempotency key. */
+/** Counts the executions of each call by its idempotency key. Thread-safe. */
 public final class CallCounter {
 
   private final int maxKeys;
@@ -14,22 +14,25 @@
   private final AtomicLong withoutKey = new AtomicLong();
   private final AtomicLong beyondLimit = new AtomicLong();
 
-  /** Counts at most {@code maxKeys} keys apart. */
+  /** Creates a counter that counts at most {@code maxKeys} keys individually. */
   public CallCounter(int maxKeys) {
     this.maxKeys = maxKeys;
   }
 
   /**
-   * The counts of a moment.
+   * A snapshot of the counts.
    *
-   * @param total all calls
-   * @param withoutKey calls that had no key
-   * @param beyondLimit calls whose key came after the highest number of keys
-   * @param calls calls by key
+   * @param total the number of all calls
+   * @param withoutKey the number of calls without a key
+   * @param beyondLimit the number of calls whose key arrived after the limit of keys was reached
+   * @param calls the number of calls by key
    */
   public record Counts(long total, long withoutKey, long beyondLimit, Map<String, Long> calls) {}
 
-  /** Counts a call and returns how often its key has now run; 1 for a call without a key. */
+  /**
+   * Counts a call and returns the number of calls with its key so far, including this call. Returns
+   * 1 for a call without a key and for a key beyond the limit.
+   */
   public long count(String key) {
     total.incrementAndGet();
     if (key.isEmpty()) {
@@ -43,7 +46,7 @@
     return keyed.computeIfAbsent(key, unused -> new AtomicLong()).incrementAndGet();
   }
 
-  /** Returns the counts of this moment. */
+  /** Returns a snapshot of the counts. */
   public Counts counts() {
     Map<String, Long> calls = new TreeMap<>();
     keyed.forEach((key, count) -> calls.put(key, count.get()));
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/service/Echo.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/service/Echo.java
@@ -6,16 +6,17 @@
 import java.util.HexFormat;
 
 /**
- * The answer of a plain service, which lets a caller tell that it is its own and whole.
+ * The response of a service stand-in, with which a caller can verify that the response is complete
+ * and belongs to its own request.
  *
- * @param service the service
- * @param id the endpoint that ran the call
- * @param method as received
- * @param path path and query as received
- * @param body as received, read as UTF-8
- * @param key the idempotency key, empty without one
- * @param call how often this key has run here, this time included
- * @param checksum see {@link #checksum}
+ * @param service the service of the endpoint
+ * @param id the id of the endpoint that ran the call
+ * @param method the method of the request
+ * @param path the path and query of the request
+ * @param body the body of the request, decoded as UTF-8
+ * @param key the idempotency key, empty if the request has none
+ * @param call the number of calls with this key at this endpoint so far, including this call
+ * @param checksum the checksum of the request, see {@link #checksum(String, String, byte[])}
  */
 public record Echo(
     String service,
@@ -27,7 +28,10 @@
     long call,
     String checksum) {
 
-  /** Returns the hexadecimal SHA-256 of method, path and body, each but the last ended by LF. */
+  /**
+   * Returns the SHA-256 of a request in hexadecimal form. The hash covers the method, LF, the path,
+   * LF and the body.
+   */
   public static String checksum(String method, String path, byte[] body) {
     MessageDigest digest = sha256();
     digest.update((method + "\n" + path + "\n").getBytes(StandardCharsets.UTF_8));
@@ -39,7 +43,7 @@
     try {
       return MessageDigest.getInstance("SHA-256");
     } catch (NoSuchAlgorithmException e) {
-      throw new IllegalStateException("this Java lacks SHA-256", e);
+      throw new IllegalStateException("this Java runtime does not support SHA-256", e);
     }
   }
 }
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/service/ServiceSettings.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/service/ServiceSettings.java
@@ -7,18 +7,20 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Settings of a plain service.
+ * Settings of a service stand-in.
  *
- * @param identity who it is
- * @param serviceMillis time from a call to its answer
- * @param jitterMillis highest time added to it, drawn evenly
- * @param maxKeys how many idempotency keys are counted apart; further ones count together
+ * @param identity the id, service and address of the stand-in
+ * @param serviceMillis the time in milliseconds from a call to its response
+ * @param jitterMillis the upper bound in milliseconds of a random, uniformly distributed time that
+ *     is added to {@code serviceMillis}
+ * @param maxKeys the maximum number of idempotency keys that are counted individually; calls with
+ *     further keys are counted in one total
  */
 @JsonDeserialize(builder = ServiceSettings.Builder.class)
 public record ServiceSettings(
     StandinIdentity identity, long serviceMillis, long jitterMillis, int maxKeys) {
 
-  /** Checks the values. */
+  /** Validates the components. */
   public ServiceSettings {
     SettingsChecks.isTrue(identity != null, "identity must be given");
     SettingsChecks.notNegative(serviceMillis, "serviceMillis");
@@ -26,12 +28,12 @@
     SettingsChecks.positive(maxKeys, "maxKeys");
   }
 
-  /** Returns a builder with the defaults. */
+  /** Returns a builder that holds the default values. */
   public static Builder builder() {
     return new Builder();
   }
 
-  /** Collects the values. */
+  /** Builds {@link ServiceSettings} instances. */
   @JsonPOJOBuilder(withPrefix = "")
   public static final class Builder {
 
@@ -42,31 +44,31 @@
 
     private Builder() {}
 
-    /** Sets who it is; required. */
+    /** Sets the identity; required. */
     public Builder identity(StandinIdentity value) {
       identity = value;
       return this;
     }
 
-    /** Sets the time from a call to its answer; 5 by default. */
+    /** Sets the time in milliseconds from a call to its response; 5 by default. */
     public Builder serviceMillis(long value) {
       serviceMillis = value;
       return this;
     }
 
-    /** Sets the highest time added to it; 0 by default. */
+    /** Sets the upper bound in milliseconds of the random extra time; 0 by default. */
     public Builder jitterMillis(long value) {
       jitterMillis = value;
       return this;
     }
 
-    /** Sets how many idempotency keys are counted apart; 500,000 by default. */
+    /** Sets how many idempotency keys are counted individually; 500,000 by default. */
     public Builder maxKeys(int value) {
       maxKeys = value;
       return this;
     }
 
-    /** Returns the checked values. */
+    /** Returns the settings after validation. */
     public ServiceSettings build() {
       return new ServiceSettings(identity, serviceMillis, jitterMillis, maxKeys);
     }
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/service/ServiceStandin.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/service/ServiceStandin.java
@@ -11,20 +11,20 @@
 import java.time.InstantSource;
 import java.util.List;
 
-/** Starts stand-ins of plain services. */
+/** Starts stand-ins for plain HTTP services. */
 public final class ServiceStandin {
 
-  /** The role of this kind of process. */
+  /** The value of {@link StandinServer#ROLE_PROPERTY} for service stand-ins. */
   public static final String ROLE = "standin-service";
 
   private ServiceStandin() {}
 
-  /** Starts a service that ends the process when a request crashes it. */
+  /** Starts a service that halts the process when a request triggers a crash fault. */
   public static RunningStandin start(ServiceSettings settings) {
     return start(settings, ProcessExit::crash);
   }
 
-  /** Starts a service that calls {@code exit} when a request crashes it. */
+  /** Starts a service that calls {@code exit} when a request triggers a crash fault. */
   public static RunningStandin start(ServiceSettings settings, Runnable exit) {
     StandinIdentity identity = settings.identity();
     FaultBoard faults = new FaultBoard(InstantSource.system(), exit);
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/service/package-info.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/service/package-info.java
@@ -1,4 +1,4 @@
-/** The stand-in of a plain service that counts its calls. */
+/** The stand-in for a plain HTTP service that echoes and counts its calls. */
 @NullMarked
 package io.hawthornlb.standin.service;
 
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/service/support/CallsController.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/service/support/CallsController.java
@@ -9,7 +9,7 @@
 import io.micronaut.http.annotation.Controller;
 import io.micronaut.http.annotation.Get;
 
-/** Shows how often each call ran. */
+/** Serves the call counts by idempotency key. */
 @Controller("/standin/calls")
 @Requires(property = StandinServer.ROLE_PROPERTY, value = ServiceStandin.ROLE)
 final class CallsController {
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/service/support/EchoController.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/service/support/EchoController.java
@@ -18,13 +18,13 @@
 import java.util.concurrent.CompletableFuture;
 import org.jspecify.annotations.Nullable;
 
-/** Takes any method and path. */
+/** Passes calls with any path to the echo service. */
 @Controller
 @Requires(property = StandinServer.ROLE_PROPERTY, value = ServiceStandin.ROLE)
 final class EchoController {
 
   private static final String IDEMPOTENCY_KEY = "Idempotency-Key";
-  private static final byte[] NO_BODY = {};
+  private static final byte[] EMPTY_BODY = {};
 
   private final EchoService service;
 
@@ -71,7 +71,7 @@
             request.getMethodName(),
             request.getUri().toString(),
             key == null ? "" : key,
-            body == null ? NO_BODY : body)
+            body == null ? EMPTY_BODY : body)
         .thenApply(WireJson::ok);
   }
 }
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/service/support/EchoService.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/service/support/EchoService.java
@@ -10,20 +10,20 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Runs calls: counts each as it starts and echoes it after the service time. */
+/** Counts each call when it starts and echoes it after the service time. Thread-safe. */
 public final class EchoService {
 
   private final ServiceSettings settings;
   private final CallCounter counter;
   private final AtomicInteger running = new AtomicInteger();
 
-  /** Counts calls in {@code counter}. */
+  /** Creates a service that counts its calls in {@code counter}. */
   public EchoService(ServiceSettings settings, CallCounter counter) {
     this.settings = settings;
     this.counter = counter;
   }
 
-  /** Runs a call; the answer comes after the service time. */
+  /** Runs a call; the returned future completes after the service time. */
   public CompletableFuture<Echo> run(String method, String path, String key, byte[] body) {
     running.incrementAndGet();
     long call = counter.count(key);
@@ -41,7 +41,7 @@
         .whenComplete((answer, failure) -> running.decrementAndGet());
   }
 
-  /** Returns how many calls have no answer yet. */
+  /** Returns the number of calls in progress. */
   public int running() {
     return running.get();
   }
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/service/support/package-info.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/service/support/package-info.java
@@ -1,4 +1,4 @@
-/** The call counter and controllers of the service stand-in. */
+/** The echo service and the controllers of the service stand-in. */
 @NullMarked
 package io.hawthornlb.standin.service.support;
 
--- a/hawthornlb-standin/src/test/java/io/hawthornlb/standin/service/ServiceStandinTest.java
+++ b/hawthornlb-standin/src/test/java/io/hawthornlb/standin/service/ServiceStandinTest.java
@@ -14,7 +14,7 @@
 class ServiceStandinTest {
 
   @Test
-  void echoesEachCallAndCountsItByKey() throws IOException {
+  void echoesAndCountsCallsByKey() throws IOException {
     try (RunningStandin service = ServiceStandin.start(TestSettings.service("s-1"))) {
       TestCalls calls = new TestCalls(service);
       calls.post("/gate/7?late=1", "hello", "Idempotency-Key", "k-1");
