--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/fault/FaultBoard.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/fault/FaultBoard.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** The faults of one stand-in that are switched on; safe for use by many threads. */
+/** The active faults of one stand-in. Thread-safe. */
 public final class FaultBoard {
 
   private final InstantSource clock;
@@ -17,12 +17,12 @@
   private final List<Fault> faults = new CopyOnWriteArrayList<>();
   private final AtomicBoolean leaving = new AtomicBoolean();
   private final AtomicLong connections = new AtomicLong();
-  private volatile long silentUpTo;
+  private volatile long lastSilencedConnection;
 
   /**
-   * Starts without faults.
+   * Creates an instance without active faults.
    *
-   * @param exit what ends the process when a request crashes it
+   * @param exit ends the process when a request triggers {@link FaultKind#CRASH_ON}
    */
   public FaultBoard(InstantSource clock, Runnable exit) {
     this.clock = clock;
@@ -30,67 +30,71 @@
   }
 
   /**
-   * Switches a fault on.
+   * Activates a fault.
    *
-   * @param duration how long it lasts; silenced connections stay so until {@link #clear}
+   * @param duration the duration of the fault; ignored for {@link FaultKind#SILENT}, which lasts
+   *     until {@link #clear} is called
    */
   public void start(FaultKind kind, Duration duration, long value, String match) {
     if (kind == FaultKind.SILENT) {
-      silentUpTo = connections.get();
+      lastSilencedConnection = connections.get();
       return;
     }
     faults.add(new Fault(kind, value, match, clock.instant().plus(duration)));
   }
 
-  /** Ends all faults, the silence of open connections included. */
+  /** Ends all faults, including those of silenced connections. */
   public void clear() {
     faults.clear();
-    silentUpTo = 0;
+    lastSilencedConnection = 0;
   }
 
-  /** Returns the fault of a kind that hits the request with this method and path. */
-  public Optional<Fault> hitting(FaultKind kind, String requestLine) {
+  /** Returns an active fault of the given kind that matches the given text of a request. */
+  public Optional<Fault> hitting(FaultKind kind, String requestText) {
     if (faults.isEmpty()) {
       return Optional.empty();
     }
-    dropEnded();
+    removeExpired();
     return faults.stream()
-        .filter(fault -> fault.kind() == kind && fault.hits(requestLine))
+        .filter(fault -> fault.kind() == kind && fault.matches(requestText))
         .findFirst();
   }
 
-  /** Returns whether a fault of this kind is on, whatever requests it hits. */
+  /** Returns whether a fault of this kind is active, whichever requests it matches. */
   public boolean active(FaultKind kind) {
-    dropEnded();
+    removeExpired();
     return faults.stream().anyMatch(fault -> fault.kind() == kind);
   }
 
-  /** Numbers a connection that is now open. */
+  /** Returns the number of a new connection; numbers increase in the order of calls. */
   public long nextConnection() {
     return connections.incrementAndGet();
   }
 
-  /** Returns whether the connection of this number has gone silent. */
-  public boolean silenced(long connection) {
-    return connection <= silentUpTo;
+  /** Returns whether {@link FaultKind#SILENT} applies to the connection with this number. */
+  public boolean isSilenced(long connection) {
+    return connection <= lastSilencedConnection;
   }
 
-  /** Returns whether the process leaves, by a fault or for good. */
+  /**
+   * Returns whether the process reports itself as leaving, because of {@link FaultKind#LEAVING} or
+   * because {@link #leave} was called.
+   */
   public boolean leaving() {
     return leaving.get() || active(FaultKind.LEAVING);
   }
 
-  /** Marks the process as leaving for good. */
+  /** Marks the process as leaving permanently. */
   public void leave() {
     leaving.set(true);
   }
 
-  /** Ends the process, as a request has crashed it. */
+  /** Ends the process after a request has triggered {@link FaultKind#CRASH_ON}. */
   public void crash() {
     exit.run();
   }
 
-  private void dropEnded() {
+  private void removeExpired() {
     Instant now = clock.instant();
     faults.removeIf(fault -> !now.isBefore(fault.endsAt()));
   }
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/fault/FaultKind.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/fault/FaultKind.java
@@ -3,23 +3,26 @@
 import java.util.Arrays;
 import java.util.Optional;
 
-/** What a stand-in can be told to do wrong. */
+/** The kinds of faults that a stand-in can emulate. */
 public enum FaultKind {
-  /** Answers 503. */
+  /** The stand-in answers requests with status 503. */
   DOWN("down"),
-  /** Closes the connection as soon as a request arrives, without acting. */
+  /** The stand-in closes the connection when a request arrives and does not run the request. */
   REFUSE("refuse"),
-  /** Waits before it acts. */
+  /** The stand-in waits before it runs a request. */
   SLOW("slow"),
-  /** Acts, then closes the connection in place of the answer. */
+  /** The stand-in runs a request, then closes the connection instead of sending the response. */
   LOSE_ANSWER("lose-answer"),
-  /** Connections that were open get no further byte, and what they send is not seen. */
+  /**
+   * Connections that are open at the activation stay open, but the stand-in sends no further data
+   * on them and discards the data it receives. New connections work.
+   */
   SILENT("silent"),
-  /** Ends the process when a request body contains a text. */
+  /** The process ends without a response when a request body contains a given text. */
   CRASH_ON("crash-on"),
-  /** Makes the load report of an engine as old as its value says, in place of its settings. */
+  /** The value of the fault replaces the configured age of an engine's load report. */
   LAG_REPORTS("lag-reports"),
-  /** Says in health and announcements that it leaves, and serves on. */
+  /** The stand-in reports itself as leaving in health and announcements, and keeps serving. */
   LEAVING("leaving");
 
   private final String wireName;
@@ -33,7 +36,7 @@
     return wireName;
   }
 
-  /** Returns the kind of a wire name, or empty when there is none. */
+  /** Returns the kind with the given wire name, or empty if there is none. */
   public static Optional<FaultKind> ofWireName(String name) {
     return Arrays.stream(values()).filter(kind -> kind.wireName.equals(name)).findFirst();
   }
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/fault/FaultOrder.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/fault/FaultOrder.java
@@ -7,20 +7,22 @@
 /**
  * The body of {@code POST /standin/faults}.
  *
- * @param kind the wire name of the kind
- * @param forMillis how long the fault lasts; 0 means until it is deleted
- * @param value the milliseconds of {@code slow} and {@code lag-reports}
- * @param match text that the method and path, or for {@code crash-on} the body, must contain
+ * @param kind the wire name of the {@link FaultKind}
+ * @param forMillis the duration of the fault in milliseconds; with 0, the fault lasts until it is
+ *     deleted
+ * @param value the delay in milliseconds of {@code slow} and {@code lag-reports}
+ * @param match the text that the method and path, or for {@code crash-on} the body, must contain;
+ *     an empty text matches all requests
  */
 @JsonDeserialize(builder = FaultOrder.Builder.class)
 public record FaultOrder(String kind, long forMillis, long value, String match) {
 
-  /** Returns a builder with the defaults. */
+  /** Returns a builder that holds the default values. */
   public static Builder builder() {
     return new Builder();
   }
 
-  /** Collects the values. */
+  /** Builds {@link FaultOrder} instances. */
   @JsonPOJOBuilder(withPrefix = "")
   public static final class Builder {
 
@@ -37,19 +39,19 @@
       return this;
     }
 
-    /** Sets how long the fault lasts; 0 by default, until it is deleted. */
+    /** Sets the duration in milliseconds; 0 by default, which lasts until the fault is deleted. */
     public Builder forMillis(long millis) {
       forMillis = millis;
       return this;
     }
 
-    /** Sets the milliseconds; 0 by default. */
+    /** Sets the delay in milliseconds; 0 by default. */
     public Builder value(long millis) {
       value = millis;
       return this;
     }
 
-    /** Sets the text that a request must contain; blank by default, which hits all. */
+    /** Sets the text that a request must contain; empty by default, which matches all requests. */
     public Builder match(@Nullable String text) {
       match = text == null ? "" : text;
       return this;
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/fault/package-info.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/fault/package-info.java
@@ -1,4 +1,4 @@
-/** Faults that a test switches on in a stand-in. */
+/** Fault injection: faults that a test activates in a stand-in. */
 @NullMarked
 package io.hawthornlb.standin.fault;
 
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/fault/support/FaultChannelHandler.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/fault/support/FaultChannelHandler.java
@@ -24,23 +24,23 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Brings the faults about on one connection.
+ * Applies the active faults to one connection.
  *
- * <p>The paths of the stand-in's own controls are exempt, so that a fault can always be ended.
+ * <p>Requests to the control paths of the stand-in are exempt, so that a fault can always be ended.
  */
 final class FaultChannelHandler extends ChannelDuplexHandler {
 
   private static final String CONTROL_PATHS = "/standin/";
-  private static final int LONGEST_BODY_SEARCHED = 1 << 20;
+  private static final int MAX_SEARCHED_BODY_CHARS = 1 << 20;
 
   private final FaultBoard faults;
-  private final Queue<Object> held = new ArrayDeque<>();
+  private final Queue<Object> delayed = new ArrayDeque<>();
   private final StringBuilder body = new StringBuilder();
   private long connection;
-  private boolean control;
-  private boolean answeringDown;
-  private boolean losingAnswer;
-  private boolean holding;
+  private boolean controlRequest;
+  private boolean answeringUnavailable;
+  private boolean droppingResponse;
+  private boolean delaying;
 
   FaultChannelHandler(FaultBoard faults) {
     this.faults = faults;
@@ -52,9 +52,9 @@
     if (message instanceof HttpRequest request) {
       startRequest(ctx, request);
     }
-    if (silent() || !ctx.channel().isActive()) {
+    if (isSilenced() || !ctx.channel().isActive()) {
       ReferenceCountUtil.release(message);
-      // The connection counts as open: it reads on and lets all it reads fall.
+      // A silenced connection stays open: the handler keeps reading and discards the data.
       ctx.read();
       return;
     }
@@ -64,10 +64,10 @@
       ctx.close();
       return;
     }
-    if (answeringDown) {
-      swallow(ctx, message);
-    } else if (holding) {
-      held.add(message);
+    if (answeringUnavailable) {
+      discardAndAnswer(ctx, message);
+    } else if (delaying) {
+      delayed.add(message);
       ctx.read();
     } else {
       ctx.fireChannelRead(message);
@@ -76,21 +76,22 @@
 
   @Override
   public void channelReadComplete(ChannelHandlerContext ctx) {
-    if (!holding) {
+    if (!delaying) {
       ctx.fireChannelReadComplete();
     }
   }
 
   @Override
   public void write(ChannelHandlerContext ctx, Object message, ChannelPromise promise) {
-    if (control) {
-      // The connection that orders a silence is not silenced by it.
+    if (controlRequest) {
+      // A connection that sends a control request gets a new number. A SILENT fault therefore does
+      // not silence the connection that activates it.
       connection = faults.nextConnection();
     }
-    if (silent()) {
+    if (isSilenced()) {
       ReferenceCountUtil.release(message);
       promise.trySuccess();
-    } else if (losingAnswer && message instanceof HttpResponse) {
+    } else if (droppingResponse && message instanceof HttpResponse) {
       ReferenceCountUtil.release(message);
       promise.tryFailure(new java.nio.channels.ClosedChannelException());
       ctx.close();
@@ -101,25 +102,26 @@
 
   @Override
   public void close(ChannelHandlerContext ctx, ChannelPromise promise) {
-    // A connection that something between the ends has lost brings no end of stream either.
-    if (!silent()) {
+    // A silenced connection emulates one that an intermediary has dropped without notice, so the
+    // caller must not receive an end of stream either.
+    if (!isSilenced()) {
       ctx.close(promise);
     }
   }
 
   @Override
   public void channelInactive(ChannelHandlerContext ctx) {
-    held.forEach(ReferenceCountUtil::release);
-    held.clear();
+    delayed.forEach(ReferenceCountUtil::release);
+    delayed.clear();
     ctx.fireChannelInactive();
   }
 
   private void startRequest(ChannelHandlerContext ctx, HttpRequest request) {
-    control = request.uri().startsWith(CONTROL_PATHS);
+    controlRequest = request.uri().startsWith(CONTROL_PATHS);
     body.setLength(0);
-    answeringDown = false;
-    losingAnswer = false;
-    if (control || silent()) {
+    answeringUnavailable = false;
+    droppingResponse = false;
+    if (controlRequest || isSilenced()) {
       return;
     }
     String line = request.method() + " " + request.uri();
@@ -127,39 +129,39 @@
       ctx.close();
       return;
     }
-    answeringDown = faults.hitting(FaultKind.DOWN, line).isPresent();
-    losingAnswer = faults.hitting(FaultKind.LOSE_ANSWER, line).isPresent();
+    answeringUnavailable = faults.hitting(FaultKind.DOWN, line).isPresent();
+    droppingResponse = faults.hitting(FaultKind.LOSE_ANSWER, line).isPresent();
     Optional<Fault> slow = faults.hitting(FaultKind.SLOW, line);
     if (slow.isPresent()) {
-      holding = true;
+      delaying = true;
       ctx.executor().schedule(() -> release(ctx), slow.get().value(), TimeUnit.MILLISECONDS);
     }
   }
 
   private void release(ChannelHandlerContext ctx) {
-    holding = false;
-    while (!held.isEmpty()) {
-      ctx.fireChannelRead(held.remove());
+    delaying = false;
+    while (!delayed.isEmpty()) {
+      ctx.fireChannelRead(delayed.remove());
     }
     ctx.fireChannelReadComplete();
   }
 
   private boolean crashes(Object message) {
-    if (control || !faults.active(FaultKind.CRASH_ON)) {
+    if (controlRequest || !faults.active(FaultKind.CRASH_ON)) {
       return false;
     }
-    if (message instanceof HttpContent content && body.length() < LONGEST_BODY_SEARCHED) {
+    if (message instanceof HttpContent content && body.length() < MAX_SEARCHED_BODY_CHARS) {
       body.append(content.content().toString(StandardCharsets.UTF_8));
     }
     return message instanceof LastHttpContent
         && faults.hitting(FaultKind.CRASH_ON, body.toString()).isPresent();
   }
 
-  private void swallow(ChannelHandlerContext ctx, Object message) {
+  private void discardAndAnswer(ChannelHandlerContext ctx, Object message) {
     boolean last = message instanceof LastHttpContent;
     ReferenceCountUtil.release(message);
     if (last) {
-      answeringDown = false;
+      answeringUnavailable = false;
       FullHttpResponse answer =
           new DefaultFullHttpResponse(
               HttpVersion.HTTP_1_1, HttpResponseStatus.SERVICE_UNAVAILABLE, Unpooled.EMPTY_BUFFER);
@@ -169,7 +171,7 @@
     ctx.read();
   }
 
-  private boolean silent() {
-    return faults.silenced(connection);
+  private boolean isSilenced() {
+    return faults.isSilenced(connection);
   }
 }
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/fault/support/FaultController.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/fault/support/FaultController.java
@@ -17,7 +17,7 @@
 import java.time.Duration;
 import java.util.Optional;
 
-/** Switches faults on and off. */
+/** Activates and clears faults over HTTP. */
 @Controller("/standin/faults")
 @Requires(property = StandinServer.STANDIN_PROPERTY)
 final class FaultController {
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/fault/support/FaultPipelineInstaller.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/fault/support/FaultPipelineInstaller.java
@@ -11,7 +11,7 @@
 import jakarta.inject.Singleton;
 import org.jspecify.annotations.Nullable;
 
-/** Puts a {@link FaultChannelHandler} into each connection. */
+/** Adds a {@link FaultChannelHandler} to the pipeline of each connection. */
 @Singleton
 @Requires(property = StandinServer.STANDIN_PROPERTY)
 final class FaultPipelineInstaller
@@ -40,8 +40,8 @@
     }
 
     @Override
-    public NettyServerCustomizer specializeForChannel(Channel special, ChannelRole role) {
-      return new Installer(special);
+    public NettyServerCustomizer specializeForChannel(Channel specialized, ChannelRole role) {
+      return new Installer(specialized);
     }
 
     @Override
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/fault/support/package-info.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/fault/support/package-info.java
@@ -1,4 +1,4 @@
-/** The controller and the channel handler that bring faults about. */
+/** The controller that activates faults and the channel handler that applies them. */
 @NullMarked
 package io.hawthornlb.standin.fault.support;
 
--- a/hawthornlb-standin/src/test/java/io/hawthornlb/standin/fault/FaultsTest.java
+++ b/hawthornlb-standin/src/test/java/io/hawthornlb/standin/fault/FaultsTest.java
@@ -22,13 +22,13 @@
 
 class FaultsTest {
 
-  private final AtomicInteger exits = new AtomicInteger();
+  private final AtomicInteger exitCalls = new AtomicInteger();
   private RunningStandin service;
   private TestCalls calls;
 
   @BeforeEach
   void start() {
-    service = ServiceStandin.start(TestSettings.service("s-1"), exits::incrementAndGet);
+    service = ServiceStandin.start(TestSettings.service("s-1"), exitCalls::incrementAndGet);
     calls = new TestCalls(service);
   }
 
@@ -49,7 +49,7 @@
   }
 
   @Test
-  void downHitsOnlyWhatMatches() throws IOException {
+  void downAppliesToMatchingRequestsOnly() throws IOException {
     calls.fault("{\"kind\":\"down\",\"match\":\"POST /a\"}");
 
     assertEquals(503, calls.post("/a", "{}").statusCode());
@@ -58,14 +58,14 @@
   }
 
   @Test
-  void faultEndsByItself() throws IOException {
+  void faultEndsAfterItsDuration() throws IOException {
     calls.fault("{\"kind\":\"down\",\"forMillis\":1}");
 
     Awaitility.await().until(() -> calls.post("/checkin", "{}").statusCode() == 200);
   }
 
   @Test
-  void refuseClosesWithoutActing() throws IOException {
+  void refuseClosesTheConnectionWithoutRunningTheCall() throws IOException {
     calls.fault("{\"kind\":\"refuse\"}");
     assertThrows(IOException.class, () -> calls.post("/checkin", "{}", "Idempotency-Key", "k"));
 
@@ -74,7 +74,7 @@
   }
 
   @Test
-  void slowDelaysTheAction() throws IOException {
+  void slowDelaysTheCall() throws IOException {
     calls.fault("{\"kind\":\"slow\",\"value\":200}");
     long start = System.nanoTime();
     assertEquals(200, calls.post("/checkin", "{}").statusCode());
@@ -83,7 +83,7 @@
   }
 
   @Test
-  void loseAnswerActsAndThenCloses() throws IOException {
+  void loseAnswerRunsTheCallAndClosesTheConnection() throws IOException {
     calls.fault("{\"kind\":\"lose-answer\"}");
     assertThrows(IOException.class, () -> calls.post("/checkin", "{}", "Idempotency-Key", "k"));
 
@@ -92,11 +92,12 @@
   }
 
   /**
-   * A caller waits for ever on a connection that looks open: something between the ends has
-   * forgotten it, its bytes reach nobody, and a new connection to the same place works.
+   * Emulates a connection that an intermediary has dropped without notice. The connection looks
+   * open to the caller, but its data is lost, so the caller waits forever. New connections to the
+   * same address work.
    */
   @Test
-  void silentHoldsOpenConnectionsAndServesNewOnes() throws IOException {
+  void silentAffectsOpenConnectionsOnly() throws IOException {
     TestCalls old = new TestCalls(service);
     assertEquals(200, old.post("/checkin", "{}").statusCode());
     calls.fault("{\"kind\":\"silent\"}");
@@ -112,15 +113,15 @@
   void crashOnEndsTheProcessWithoutAnAnswer() throws IOException {
     calls.fault("{\"kind\":\"crash-on\",\"match\":\"poison\"}");
     assertEquals(200, calls.post("/checkin", "{\"text\":\"fine\"}").statusCode());
-    assertEquals(0, exits.get());
+    assertEquals(0, exitCalls.get());
 
     assertThrows(IOException.class, () -> calls.post("/checkin", "{\"text\":\"poison\"}"));
-    assertTrue(exits.get() >= 1);
+    assertTrue(exitCalls.get() >= 1);
     assertEquals(1, calls.json("/standin/calls").path("total").asInt());
   }
 
   @Test
-  void leavingShowsInHealthAndServesOn() throws IOException {
+  void leavingIsReportedInHealthWhileCallsAreServed() throws IOException {
     calls.fault("{\"kind\":\"leaving\"}");
 
     assertEquals(503, calls.get("/health").statusCode());
@@ -129,7 +130,7 @@
   }
 
   @Test
-  void lagReportsMakesTheLoadReportOld() throws IOException {
+  void lagReportsDelaysTheLoadReport() throws IOException {
     String chat =
         "{\"model\":\"brief-llm\",\"max_tokens\":3,"
             + "\"messages\":[{\"role\":\"user\",\"content\":\"hello\"}]}";
@@ -146,14 +147,14 @@
   }
 
   @Test
-  void unknownKindsAreRefused() throws IOException {
+  void invalidFaultOrdersAreRejected() throws IOException {
     assertEquals(400, calls.post("/standin/faults", "{\"kind\":\"flood\"}").statusCode());
     assertEquals(400, calls.post("/standin/faults", "{\"kind\":\"crash-on\"}").statusCode());
     assertEquals(400, calls.post("/standin/faults", "{").statusCode());
   }
 
   @Test
-  void everyKindOfStandinTakesFaults() throws IOException {
+  void everyKindOfStandinSupportsFaults() throws IOException {
     try (RunningStandin platform = PlatformStandin.start(PlatformSettings.builder().build());
         RunningStandin engine = EngineStandin.start(TestSettings.engine("e-1").build())) {
       TestCalls log = new TestCalls(platform);
