--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/RunningStandin.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/RunningStandin.java
@@ -2,24 +2,30 @@
 
 import java.time.Duration;
 
-/** A started stand-in. */
+/** A running stand-in. */
 public interface RunningStandin extends AutoCloseable {
 
-  /** Returns the port it listens on. */
+  /** Returns the port on which the stand-in listens. */
   int port();
 
-  /** Returns its address as {@code host:port}. */
+  /** Returns the address of the stand-in as {@code host:port}. */
   default String address() {
     return "127.0.0.1:" + port();
   }
 
-  /** Tells the platform that this process leaves; requests are still served. */
+  /**
+   * Marks the stand-in as leaving. An endpoint also announces this to the platform. The stand-in
+   * still serves requests.
+   */
   void leave();
 
-  /** Waits until no request is in progress, at most {@code limit}, and returns whether none is. */
+  /**
+   * Waits until no request is in progress, for at most {@code limit}. Returns whether no request is
+   * in progress.
+   */
   boolean awaitIdle(Duration limit);
 
-  /** Stops at once, and withdraws the announcement. */
+  /** Withdraws the announcement and stops the stand-in without waiting for requests. */
   @Override
   void close();
 }
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/StandinRunner.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/StandinRunner.java
@@ -13,44 +13,45 @@
 import java.time.Duration;
 import java.util.concurrent.CountDownLatch;
 
-/** Runs one stand-in as a process of its own. */
+/** Runs one stand-in as a separate process. */
 public final class StandinRunner {
 
   private static final Logger LOG = System.getLogger(StandinRunner.class.getName());
-  private static final Duration DRAIN_LIMIT = Duration.ofSeconds(10);
+  private static final Duration DRAIN_TIMEOUT = Duration.ofSeconds(10);
 
   private StandinRunner() {}
 
   /**
-   * Starts a stand-in and returns when the process is told to end.
+   * Starts a stand-in and waits until the process is terminated.
    *
-   * <p>On SIGTERM it marks itself as leaving, ends the requests in progress and stops.
+   * <p>On SIGTERM the stand-in marks itself as leaving, waits at most 10 seconds for the requests
+   * in progress and stops.
    *
    * @param kind {@code platform}, {@code engine} or {@code service}
-   * @param settings the YAML file
-   * @throws io.hawthornlb.standin.support.InvalidSettingsException if the file holds a fault
-   * @throws IllegalArgumentException if there is no such kind
+   * @param settings the YAML file with the settings
+   * @throws io.hawthornlb.standin.support.InvalidSettingsException if the file is invalid
+   * @throws IllegalArgumentException if the kind is unknown
    */
   public static void run(String kind, Path settings) {
     RunningStandin standin = start(kind, settings);
-    CountDownLatch end = new CountDownLatch(1);
+    CountDownLatch stopped = new CountDownLatch(1);
     Runtime.getRuntime()
         .addShutdownHook(
             new Thread(
                 () -> {
                   stop(standin);
-                  end.countDown();
+                  stopped.countDown();
                 },
                 "standin-stop"));
     LOG.log(Level.INFO, "standin: {0} listens on {1}", kind, standin.address());
-    awaitEnd(end);
+    awaitStop(stopped);
   }
 
   /**
-   * Starts a stand-in from its settings.
+   * Starts a stand-in with the settings of a file.
    *
-   * @throws io.hawthornlb.standin.support.InvalidSettingsException if the file holds a fault
-   * @throws IllegalArgumentException if there is no such kind
+   * @throws io.hawthornlb.standin.support.InvalidSettingsException if the file is invalid
+   * @throws IllegalArgumentException if the kind is unknown
    */
   public static RunningStandin start(String kind, Path settings) {
     return switch (kind) {
@@ -66,15 +67,15 @@
 
   private static void stop(RunningStandin standin) {
     standin.leave();
-    if (!standin.awaitIdle(DRAIN_LIMIT)) {
-      LOG.log(Level.WARNING, "standin: requests in progress were cut");
+    if (!standin.awaitIdle(DRAIN_TIMEOUT)) {
+      LOG.log(Level.WARNING, "standin: requests in progress were aborted after the drain timeout");
     }
     standin.close();
   }
 
-  private static void awaitEnd(CountDownLatch end) {
+  private static void awaitStop(CountDownLatch stopped) {
     try {
-      end.await();
+      stopped.await();
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/package-info.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/package-info.java
@@ -1,4 +1,4 @@
-/** Stand-ins of the platform, the engines and plain services, and what starts them. */
+/** Stand-ins for the platform, model engines and plain services, and the runner of a process. */
 @NullMarked
 package io.hawthornlb.standin;
 
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/support/Announcer.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/support/Announcer.java
@@ -14,16 +14,19 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 
-/** Announces an endpoint to the platform again and again, and withdraws it at the end. */
+/**
+ * Announces an endpoint to the platform at regular intervals, and withdraws the announcement when
+ * closed.
+ */
 public final class Announcer implements AutoCloseable {
 
   private static final Logger LOG = System.getLogger(Announcer.class.getName());
-  private static final Duration CALL_LIMIT = Duration.ofSeconds(1);
+  private static final Duration CALL_TIMEOUT = Duration.ofSeconds(1);
 
   private final StandinIdentity identity;
   private final int port;
   private final FaultBoard faults;
-  private final HttpClient client = HttpClient.newBuilder().connectTimeout(CALL_LIMIT).build();
+  private final HttpClient client = HttpClient.newBuilder().connectTimeout(CALL_TIMEOUT).build();
   private final ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor();
   private boolean failed;
 
@@ -33,7 +36,7 @@
     this.faults = faults;
   }
 
-  /** Starts to announce; does nothing when the identity names no platform. */
+  /** Starts the announcements; sends none if the identity names no platform. */
   public static Announcer start(StandinIdentity identity, int port, FaultBoard faults) {
     Announcer announcer = new Announcer(identity, port, faults);
     if (!identity.platform().isBlank()) {
@@ -43,14 +46,14 @@
     return announcer;
   }
 
-  /** Announces the present state at once. */
+  /** Announces the current state at once. */
   public void announceNow() {
     if (!identity.platform().isBlank()) {
       timer.execute(this::announce);
     }
   }
 
-  /** Stops announcing and withdraws the announcement. */
+  /** Stops the announcements and withdraws the last one. */
   @Override
   public void close() {
     timer.shutdownNow();
@@ -76,19 +79,22 @@
   private void call(HttpRequest.Builder request) {
     try {
       client.send(
-          request.timeout(CALL_LIMIT).header("Content-Type", "application/json").build(),
+          request.timeout(CALL_TIMEOUT).header("Content-Type", "application/json").build(),
           BodyHandlers.discarding());
       failed = false;
     } catch (IOException e) {
-      logOnce(e);
+      logFirstFailure(e);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  private void logOnce(IOException cause) {
+  private void logFirstFailure(IOException cause) {
     if (!failed) {
-      LOG.log(Level.WARNING, "standin: platform not reached, goes on trying: {0}", cause);
+      LOG.log(
+          Level.WARNING,
+          "standin: announcement failed, the platform is not reachable; will retry: {0}",
+          cause);
     }
     failed = true;
   }
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/support/HealthController.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/support/HealthController.java
@@ -7,7 +7,7 @@
 import io.micronaut.http.annotation.Controller;
 import io.micronaut.http.annotation.Get;
 
-/** Says whether the process takes new work. */
+/** Serves the health check: status 200 if the process accepts new work, else status 503. */
 @Controller("/health")
 @Requires(property = StandinServer.STANDIN_PROPERTY)
 final class HealthController {
@@ -18,7 +18,7 @@
     this.faults = faults;
   }
 
-  /** The state of the process. */
+  /** The body of the health check: {@code live} or {@code leaving}. */
   record Health(String state) {}
 
   @Get
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/support/InvalidSettingsException.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/support/InvalidSettingsException.java
@@ -2,10 +2,10 @@
 
 import org.jspecify.annotations.Nullable;
 
-/** Settings hold a fault; the message names the file, the place and the key to mend. */
+/** Thrown for an invalid settings file; the message names the file, position and invalid key. */
 public final class InvalidSettingsException extends RuntimeException {
 
-  /** Says what is wrong and where. */
+  /** Creates an exception whose message describes the error and its position. */
   public InvalidSettingsException(String message, @Nullable Throwable cause) {
     super(message, cause);
   }
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/support/LaggingValue.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/support/LaggingValue.java
@@ -8,54 +8,62 @@
 import java.util.function.Supplier;
 
 /**
- * A value whose readers see it only after a lag, as with reports that take time to spread.
+ * A value whose changes become visible to readers only after a lag, like a report that takes time
+ * to propagate. Thread-safe.
  *
- * @param <T> the immutable value
+ * @param <T> the type of the value, which must be immutable
  */
 public final class LaggingValue<T> {
 
-  private static final Duration GRAIN = Duration.ofMillis(5);
+  private static final Duration MIN_INTERVAL = Duration.ofMillis(5);
 
   private final InstantSource clock;
   private final Supplier<Duration> lag;
   private final Deque<Dated<T>> history = new ArrayDeque<>();
 
-  /** A value with the time from which it holds. */
+  /** A value with the time from which it is valid. */
   public record Dated<T>(Instant asOf, T value) {}
 
-  /** Starts with a value that holds from now, and which is visible at once. */
+  /** Creates an instance whose first value is visible at once. */
   public LaggingValue(T first, Duration lag, InstantSource clock) {
     this(first, () -> lag, clock);
   }
 
-  /** Starts with a value that is visible at once; the lag may change at any time. */
+  /**
+   * Creates an instance whose first value is visible at once. The lag is read at each access and
+   * may change at any time.
+   */
   public LaggingValue(T first, Supplier<Duration> lag, InstantSource clock) {
     this.clock = clock;
     this.lag = lag;
     history.add(new Dated<>(clock.instant().minus(lag.get()), first));
   }
 
-  /** Records the value of this moment; values closer than a few milliseconds replace each other. */
+  /**
+   * Publishes a value that is valid from now on. If less than 5 ms have passed since the time of
+   * the last published value, and that value is not the visible one, the new value replaces it and
+   * takes over its time.
+   */
   public synchronized void publish(T value) {
     Instant now = clock.instant();
     Dated<T> last = history.getLast();
-    if (history.size() > 1 && Duration.between(last.asOf(), now).compareTo(GRAIN) < 0) {
+    if (history.size() > 1 && Duration.between(last.asOf(), now).compareTo(MIN_INTERVAL) < 0) {
       history.removeLast();
       now = last.asOf();
     }
     history.addLast(new Dated<>(now, value));
-    dropUnseen();
+    removeSuperseded();
   }
 
   /** Returns the newest value that is at least as old as the lag, with its time. */
   public synchronized Dated<T> visible() {
-    dropUnseen();
+    removeSuperseded();
     return history.getFirst();
   }
 
-  private void dropUnseen() {
-    Instant horizon = clock.instant().minus(lag.get());
-    while (history.size() > 1 && !second().asOf().isAfter(horizon)) {
+  private void removeSuperseded() {
+    Instant newestVisible = clock.instant().minus(lag.get());
+    while (history.size() > 1 && !second().asOf().isAfter(newestVisible)) {
       history.removeFirst();
     }
   }
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/support/MalformedBodyException.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/support/MalformedBodyException.java
@@ -2,10 +2,13 @@
 
 import org.jspecify.annotations.Nullable;
 
-/** A body does not have the shape that the call asks for; the caller mends it and sends again. */
+/**
+ * Thrown if a request body does not have the expected format. A retry cannot succeed with the same
+ * body.
+ */
 public final class MalformedBodyException extends RuntimeException {
 
-  /** Says what was expected. */
+  /** Creates an exception whose message describes the expected format. */
   public MalformedBodyException(String message, @Nullable Throwable cause) {
     super(message, cause);
   }
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/support/MalformedBodyHandler.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/support/MalformedBodyHandler.java
@@ -7,7 +7,7 @@
 import io.micronaut.http.server.exceptions.ExceptionHandler;
 import jakarta.inject.Singleton;
 
-/** Answers 400 to a malformed body. */
+/** Turns a {@link MalformedBodyException} into a response with status 400. */
 @Singleton
 @Requires(property = StandinServer.STANDIN_PROPERTY)
 final class MalformedBodyHandler
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/support/ProcessExit.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/support/ProcessExit.java
@@ -1,15 +1,15 @@
 package io.hawthornlb.standin.support;
 
-/** Ends this process as a crash does. */
+/** Halts this process to emulate a crash. */
 public final class ProcessExit {
 
-  /** The exit code of a process that a request has crashed. */
-  public static final int CRASHED = 70;
+  /** The exit code of a process that a crash fault has halted. */
+  public static final int CRASH_EXIT_CODE = 70;
 
   private ProcessExit() {}
 
-  /** Ends the process at once, without the hooks of a clean stop. */
+  /** Halts the process at once, without running shutdown hooks. */
   public static void crash() {
-    Runtime.getRuntime().halt(CRASHED);
+    Runtime.getRuntime().halt(CRASH_EXIT_CODE);
   }
 }
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/support/RunningEndpoint.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/support/RunningEndpoint.java
@@ -7,10 +7,13 @@
 import java.util.function.IntSupplier;
 
 /**
- * A started endpoint stand-in.
+ * A running endpoint stand-in.
  *
- * @param inProgress how many requests have no answer yet
- * @param atEnd what is stopped after the server
+ * @param server the HTTP server
+ * @param faults the active faults
+ * @param announcer the announcer, which is closed before the server
+ * @param inProgress returns the number of requests in progress
+ * @param atEnd runs after the server is closed
  */
 public record RunningEndpoint(
     StandinServer server,
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/support/SettingsChecks.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/support/SettingsChecks.java
@@ -1,11 +1,14 @@
 package io.hawthornlb.standin.support;
 
-/** Checks of settings that throw {@link IllegalArgumentException} naming the key. */
+/**
+ * Checks for settings. A failed check throws an {@link IllegalArgumentException} whose message
+ * names the key.
+ */
 public final class SettingsChecks {
 
   private SettingsChecks() {}
 
-  /** Checks that a text has a visible character. */
+  /** Checks that a text is neither null nor blank. */
   public static void hasText(String text, String key) {
     isTrue(text != null && !text.isBlank(), key + " must not be blank");
   }
@@ -20,7 +23,7 @@
     isTrue(value >= 0, key + " must not be negative, was " + value);
   }
 
-  /** Checks a condition. */
+  /** Checks that a condition holds. */
   public static void isTrue(boolean condition, String message) {
     if (!condition) {
       throw new IllegalArgumentException(message);
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/support/SettingsReader.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/support/SettingsReader.java
@@ -8,7 +8,7 @@
 import java.io.IOException;
 import java.nio.file.Path;
 
-/** Reads YAML settings strictly: unknown keys, wrong types and bad values are refused. */
+/** Reads YAML settings strictly: rejects unknown keys, duplicate keys and invalid values. */
 public final class SettingsReader {
 
   private static final ObjectMapper MAPPER =
@@ -21,9 +21,10 @@
   private SettingsReader() {}
 
   /**
-   * Reads a file.
+   * Reads settings from a file.
    *
-   * @throws InvalidSettingsException if it cannot be read or holds a fault, with its place
+   * @throws InvalidSettingsException if the file cannot be read or is invalid; the message names
+   *     the file and, if known, the line and column
    */
   public static <T> T read(Path file, Class<T> type) {
     try {
@@ -33,14 +34,16 @@
       }
       return value;
     } catch (JsonProcessingException e) {
-      throw new InvalidSettingsException(place(file, e) + ": " + e.getOriginalMessage(), e);
+      throw new InvalidSettingsException(position(file, e) + ": " + e.getOriginalMessage(), e);
     } catch (IOException e) {
       throw new InvalidSettingsException(file + ": " + e.getMessage(), e);
     }
   }
 
-  private static String place(Path file, JsonProcessingException e) {
-    var at = e.getLocation();
-    return at == null ? file.toString() : file + ":" + at.getLineNr() + ":" + at.getColumnNr();
+  private static String position(Path file, JsonProcessingException e) {
+    var location = e.getLocation();
+    return location == null
+        ? file.toString()
+        : file + ":" + location.getLineNr() + ":" + location.getColumnNr();
   }
 }
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/support/StandinIdentity.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/support/StandinIdentity.java
@@ -4,15 +4,16 @@
 import com.fasterxml.jackson.databind.annotation.JsonPOJOBuilder;
 
 /**
- * Who an endpoint stand-in is and where it announces itself.
+ * The identity of an endpoint stand-in and the platform to which it announces itself.
  *
  * @param id the id in the instance list
- * @param service the service it belongs to
- * @param dataCentre the data centre it claims to stand in
- * @param port the port on 127.0.0.1, or 0 for any free one
- * @param platform address of the platform as {@code host:port}; blank announces nothing
- * @param announceMillis time between two announcements
- * @param eventLoopThreads threads that serve connections
+ * @param service the service that the endpoint belongs to
+ * @param dataCentre the data centre that the endpoint announces as its own
+ * @param port the port on 127.0.0.1, or 0 for any free port
+ * @param platform the address of the platform as {@code host:port}; if blank, the endpoint does not
+ *     announce itself
+ * @param announceMillis the time in milliseconds between two announcements
+ * @param eventLoopThreads the number of threads that serve connections
  */
 @JsonDeserialize(builder = StandinIdentity.Builder.class)
 public record StandinIdentity(
@@ -24,7 +25,7 @@
     long announceMillis,
     int eventLoopThreads) {
 
-  /** Checks the values. */
+  /** Validates the components. */
   public StandinIdentity {
     SettingsChecks.hasText(id, "id");
     SettingsChecks.hasText(service, "service");
@@ -34,12 +35,12 @@
     SettingsChecks.positive(eventLoopThreads, "eventLoopThreads");
   }
 
-  /** Returns a builder with the defaults. */
+  /** Returns a builder that holds the default values. */
   public static Builder builder() {
     return new Builder();
   }
 
-  /** Collects the values. */
+  /** Builds {@link StandinIdentity} instances. */
   @JsonPOJOBuilder(withPrefix = "")
   public static final class Builder {
 
@@ -83,7 +84,7 @@
       return this;
     }
 
-    /** Sets the time between announcements; 1,000 by default. */
+    /** Sets the time in milliseconds between two announcements; 1,000 by default. */
     public Builder announceMillis(long value) {
       announceMillis = value;
       return this;
@@ -95,7 +96,7 @@
       return this;
     }
 
-    /** Returns the checked values. */
+    /** Returns the settings after validation. */
     public StandinIdentity build() {
       return new StandinIdentity(
           id, service, dataCentre, port, platform, announceMillis, eventLoopThreads);
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/support/StandinServer.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/support/StandinServer.java
@@ -7,13 +7,16 @@
 import java.util.List;
 import java.util.Map;
 
-/** The HTTP server of one stand-in; several run in one process without seeing each other. */
+/**
+ * The HTTP server of one stand-in. Several servers can run in one process, each with its own
+ * application context.
+ */
 public final class StandinServer implements AutoCloseable {
 
-  /** Names the kind of process that a controller belongs to. */
+  /** The property that holds the role of the stand-in; controllers are enabled by role. */
   public static final String ROLE_PROPERTY = "hawthornlb.role";
 
-  /** Present in every stand-in, whatever its kind. */
+  /** The property that is set in stand-ins of every role. */
   public static final String STANDIN_PROPERTY = "hawthornlb.standin";
 
   private static final String HOST = "127.0.0.1";
@@ -28,9 +31,10 @@
   }
 
   /**
-   * Starts a server whose controllers of {@code role} get the given objects by their type.
+   * Starts a server with the controllers of {@code role}. The given beans are available to the
+   * controllers for injection by type.
    *
-   * @param port the port, or 0 for any free one
+   * @param port the port, or 0 for any free port
    */
   public static StandinServer start(
       String role, int port, int threads, FaultBoard faults, List<Object> beans) {
@@ -48,7 +52,7 @@
     return new StandinServer(context, server);
   }
 
-  /** Returns the port it listens on. */
+  /** Returns the port on which the server listens. */
   public int port() {
     return server.getPort();
   }
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/support/TokenBucket.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/support/TokenBucket.java
@@ -4,7 +4,7 @@
 import java.time.Instant;
 import java.time.InstantSource;
 
-/** Limits calls to a rate, with a burst. */
+/** A token bucket: limits calls to a rate and allows bursts. Thread-safe. */
 public final class TokenBucket {
 
   private static final double NANOS_PER_SECOND = 1e9;
@@ -15,7 +15,7 @@
   private double tokens;
   private Instant filledAt;
 
-  /** Starts full. */
+  /** Creates a bucket that is full. */
   public TokenBucket(double perSecond, double burst, InstantSource clock) {
     SettingsChecks.positive(perSecond, "perSecond");
     SettingsChecks.isTrue(burst >= 1, "burst must be at least 1, was " + burst);
@@ -26,7 +26,10 @@
     this.filledAt = clock.instant();
   }
 
-  /** Takes a token and returns zero, or takes none and returns the time until there is one. */
+  /**
+   * Takes a token and returns zero. If no token is available, takes none and returns the time until
+   * the next token is available.
+   */
   public synchronized Duration tryTake() {
     Instant now = clock.instant();
     double elapsed = Duration.between(filledAt, now).toNanos() / NANOS_PER_SECOND;
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/support/WireError.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/support/WireError.java
@@ -1,12 +1,12 @@
 package io.hawthornlb.standin.support;
 
 /**
- * The body of a failed call, in the shape of the chat completion protocol.
+ * The body of an error response, in the format of the chat completion protocol.
  *
- * @param error what went wrong
+ * @param error the cause of the error
  */
 public record WireError(Cause error) {
 
-  /** The message and the HTTP status. */
+  /** The error message and the HTTP status code. */
   public record Cause(String message, int code) {}
 }
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/support/WireJson.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/support/WireJson.java
@@ -12,7 +12,7 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 
-/** JSON as it stands on the wire. */
+/** Reads and writes the JSON bodies of requests and responses. */
 public final class WireJson {
 
   private static final ObjectMapper MAPPER =
@@ -24,15 +24,15 @@
 
   private WireJson() {}
 
-  /** Returns the mapper; callers do not configure it. */
+  /** Returns the shared mapper. Callers must not change its configuration. */
   public static ObjectMapper mapper() {
     return MAPPER;
   }
 
   /**
-   * Reads a body.
+   * Reads a value from a body.
    *
-   * @throws MalformedBodyException if it is no such value
+   * @throws MalformedBodyException if the body is not valid JSON for the type, or is JSON null
    */
   public static <T> T read(byte[] body, Class<T> type) {
     try {
@@ -46,7 +46,7 @@
     }
   }
 
-  /** Returns the bytes of a value. */
+  /** Returns a value as JSON bytes. */
   public static byte[] write(Object value) {
     try {
       return MAPPER.writeValueAsBytes(value);
@@ -55,19 +55,19 @@
     }
   }
 
-  /** Returns a 200 that carries a value. */
+  /** Returns a response with status 200 and a value as body. */
   public static MutableHttpResponse<byte[]> ok(Object value) {
     return answer(HttpStatus.OK, value);
   }
 
-  /** Returns an answer that carries a value. */
+  /** Returns a response with the given status and a value as body. */
   public static MutableHttpResponse<byte[]> answer(HttpStatus status, Object value) {
     return HttpResponse.<byte[]>status(status)
         .contentType(MediaType.APPLICATION_JSON_TYPE)
         .body(write(value));
   }
 
-  /** Returns an answer whose body names the error. */
+  /** Returns an error response whose body holds the message. */
   public static MutableHttpResponse<byte[]> error(HttpStatus status, String message) {
     return answer(status, new WireError(new WireError.Cause(message, status.getCode())));
   }
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/support/package-info.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/support/package-info.java
@@ -1,4 +1,4 @@
-/** What all stand-ins share: the server, the announcement, settings and codecs. */
+/** Shared parts of the stand-ins: the HTTP server, announcements, settings and JSON codecs. */
 @NullMarked
 package io.hawthornlb.standin.support;
 
--- a/hawthornlb-standin/src/test/java/io/hawthornlb/standin/StandinBenchTest.java
+++ b/hawthornlb-standin/src/test/java/io/hawthornlb/standin/StandinBenchTest.java
@@ -29,7 +29,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Measures what the stand-ins themselves cost, by the processor time of their threads. */
+/** Measures the CPU time that the threads of the stand-ins consume. */
 @Tag("bench")
 class StandinBenchTest {
 
@@ -37,7 +37,7 @@
   private static final int STEP_MICROS = 20_000;
   private static final int TOKENS = 150;
 
-  /** Returns the processor time of each thread of a stand-in that is alive. */
+  /** Returns the CPU time in nanoseconds of each live stand-in thread, by thread id. */
   private static Map<Long, Long> standinCpu() {
     ThreadMXBean threads = ManagementFactory.getThreadMXBean();
     Map<Long, Long> nanos = new HashMap<>();
@@ -50,7 +50,7 @@
     return nanos;
   }
 
-  /** Returns the processor time since, without that of threads that have ended. */
+  /** Returns the CPU seconds consumed since a snapshot, without threads that have ended. */
   private static double cpuSecondsSince(Map<Long, Long> before) {
     long nanos = 0;
     for (Map.Entry<Long, Long> thread : standinCpu().entrySet()) {
@@ -87,7 +87,7 @@
                 .build());
   }
 
-  /** Settings under which the emulated work is next to nothing. */
+  /** Starts an engine whose emulated work takes almost no time: steps of 1 ms at any load. */
   private static RunningStandin instantEngine() {
     return EngineStandin.start(
         TestSettings.engine("bench")
@@ -166,7 +166,7 @@
     }
   }
 
-  /** Compares what a full engine does with what its settings allow without any waiting. */
+  /** Compares the throughput of a saturated engine with the upper bound from its settings. */
   @Test
   void saturatedEngineAgainstItsBound() {
     int answer = 40;
--- a/hawthornlb-standin/src/test/java/io/hawthornlb/standin/StandinRunnerTest.java
+++ b/hawthornlb-standin/src/test/java/io/hawthornlb/standin/StandinRunnerTest.java
@@ -23,7 +23,7 @@
   }
 
   @Test
-  void startsEachKindFromItsFile() throws IOException {
+  void startsEachKindFromItsSettingsFile() throws IOException {
     String engine = IDENTITY + "timing: {stepMicros: 100}\nmemory: {slots: 4}\n";
     assertHealthy("platform", "appendsPerSecond: 100\n");
     assertHealthy("engine", engine);
@@ -37,21 +37,22 @@
   }
 
   @Test
-  void faultySettingsAreRefusedWithTheirPlace() throws IOException {
-    assertRefused("engine", IDENTITY + "slotz: 3\n", "slotz");
-    assertRefused("engine", IDENTITY + "memory: {slots: many}\n", "settings.yaml:2");
-    assertRefused("engine", IDENTITY + "memory: {slots: 0}\n", "slots must be above 0");
-    assertRefused("engine", "models: []\n", "identity");
-    assertRefused("service", IDENTITY + IDENTITY, "identity");
-    assertRefused("platform", "", "settings.yaml");
+  void invalidSettingsAreRejectedWithTheirPosition() throws IOException {
+    assertRejected("engine", IDENTITY + "slotz: 3\n", "slotz");
+    assertRejected("engine", IDENTITY + "memory: {slots: many}\n", "settings.yaml:2");
+    assertRejected("engine", IDENTITY + "memory: {slots: 0}\n", "slots must be above 0");
+    assertRejected("engine", "models: []\n", "identity");
+    assertRejected("service", IDENTITY + IDENTITY, "identity");
+    assertRejected("platform", "", "settings.yaml");
     assertThrows(
         IllegalArgumentException.class, () -> StandinRunner.start("entry", file("port: 0\n")));
   }
 
-  private void assertRefused(String kind, String settings, String mention) throws IOException {
+  private void assertRejected(String kind, String settings, String expectedText)
+      throws IOException {
     Path file = file(settings);
-    InvalidSettingsException refused =
+    InvalidSettingsException rejection =
         assertThrows(InvalidSettingsException.class, () -> StandinRunner.start(kind, file));
-    assertTrue(refused.getMessage().contains(mention), refused.getMessage());
+    assertTrue(rejection.getMessage().contains(expectedText), rejection.getMessage());
   }
 }
--- a/hawthornlb-standin/src/test/java/io/hawthornlb/standin/TestCalls.java
+++ b/hawthornlb-standin/src/test/java/io/hawthornlb/standin/TestCalls.java
@@ -12,10 +12,10 @@
 import java.time.Duration;
 import java.util.List;
 
-/** A plain HTTP client for tests. */
+/** An HTTP client for tests that call a stand-in. */
 public final class TestCalls {
 
-  private static final Duration LIMIT = Duration.ofSeconds(10);
+  private static final Duration TIMEOUT = Duration.ofSeconds(10);
 
   private final HttpClient client = HttpClient.newHttpClient();
   private final String address;
@@ -55,7 +55,7 @@
     return WireJson.mapper().readTree(get(path).body());
   }
 
-  /** Returns the data of the events of a stream that is read to its end. */
+  /** Returns the data of all server-sent events in a response. */
   public static List<String> events(HttpResponse<String> answer) {
     return answer
         .body()
@@ -74,7 +74,7 @@
   }
 
   public HttpRequest.Builder request(String path) {
-    return HttpRequest.newBuilder(URI.create("http://" + address + path)).timeout(LIMIT);
+    return HttpRequest.newBuilder(URI.create("http://" + address + path)).timeout(TIMEOUT);
   }
 
   private static HttpRequest.Builder withHeaders(HttpRequest.Builder request, String[] headers) {
--- a/hawthornlb-standin/src/test/java/io/hawthornlb/standin/TestSettings.java
+++ b/hawthornlb-standin/src/test/java/io/hawthornlb/standin/TestSettings.java
@@ -7,7 +7,7 @@
 import io.hawthornlb.standin.service.ServiceSettings;
 import io.hawthornlb.standin.support.StandinIdentity;
 
-/** Settings with which tests run fast. */
+/** Settings for fast tests. */
 public final class TestSettings {
 
   private TestSettings() {}
--- a/hawthornlb-standin/src/test/java/io/hawthornlb/standin/support/LaggingValueTest.java
+++ b/hawthornlb-standin/src/test/java/io/hawthornlb/standin/support/LaggingValueTest.java
@@ -13,40 +13,41 @@
   private final LaggingValue<String> value =
       new LaggingValue<>("first", Duration.ofSeconds(1), now::get);
 
-  private void pass(long millis) {
-    now.updateAndGet(before -> before.plusMillis(millis));
+  private void advance(long millis) {
+    now.updateAndGet(time -> time.plusMillis(millis));
   }
 
   @Test
   void readersSeeEachValueAfterTheLag() {
-    pass(100);
+    advance(100);
     value.publish("second");
-    pass(999);
+    advance(999);
     assertEquals("first", value.visible().value());
-    pass(1);
+    advance(1);
     assertEquals("second", value.visible().value());
   }
 
   /**
-   * A busy engine published a load every few milliseconds. Readers kept seeing the first one for
-   * good if each publication put the time of the one before it off; the time must stay.
+   * Guards against a value that never becomes visible. A busy engine publishes its load every few
+   * milliseconds. If a publication that replaces the previous one also moved its time, no value
+   * would ever reach the lag, and readers would see the first value forever.
    */
   @Test
-  void frequentPublicationDoesNotHoldValuesBack() {
+  void frequentPublicationDoesNotDelayValues() {
     for (int millis = 0; millis < 3_000; millis++) {
-      pass(1);
+      advance(1);
       value.publish("at " + millis);
     }
     assertEquals(true, value.visible().asOf().isAfter(Instant.EPOCH.plusMillis(1_990)));
   }
 
   @Test
-  void tokenBucketTellsWhenToComeBack() {
+  void tokenBucketReturnsTheTimeUntilTheNextToken() {
     TokenBucket bucket = new TokenBucket(10, 2, now::get);
     assertEquals(Duration.ZERO, bucket.tryTake());
     assertEquals(Duration.ZERO, bucket.tryTake());
     assertEquals(Duration.ofMillis(100), bucket.tryTake());
-    pass(100);
+    advance(100);
     assertEquals(Duration.ZERO, bucket.tryTake());
   }
 }
