--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/EngineStandin.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/EngineStandin.java
@@ -2,7 +2,7 @@
 
 import io.hawthornlb.standin.RunningStandin;
 import io.hawthornlb.standin.engine.support.EngineEmulator;
-import io.hawthornlb.standin.fault.FaultBoard;
+import io.hawthornlb.standin.fault.ActiveFaults;
 import io.hawthornlb.standin.support.Announcer;
 import io.hawthornlb.standin.support.ProcessExit;
 import io.hawthornlb.standin.support.RunningEndpoint;
@@ -27,7 +27,7 @@
   /** Starts an engine that calls {@code exit} when a request triggers a crash fault. */
   public static RunningStandin start(EngineSettings settings, Runnable exit) {
     StandinIdentity identity = settings.identity();
-    FaultBoard faults = new FaultBoard(InstantSource.system(), exit);
+    ActiveFaults faults = new ActiveFaults(InstantSource.system(), exit);
     EngineEmulator engine = new EngineEmulator(settings, faults, InstantSource.system());
     StandinServer server =
         StandinServer.start(
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/support/EngineEmulator.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/engine/support/EngineEmulator.java
@@ -10,8 +10,8 @@
 import io.hawthornlb.standin.engine.KvExport;
 import io.hawthornlb.standin.engine.LoadReport;
 import io.hawthornlb.standin.engine.Prompt;
+import io.hawthornlb.standin.fault.ActiveFaults;
 import io.hawthornlb.standin.fault.Fault;
-import io.hawthornlb.standin.fault.FaultBoard;
 import io.hawthornlb.standin.fault.FaultKind;
 import io.hawthornlb.standin.support.LaggingValue;
 import io.micronaut.http.HttpStatus;
@@ -42,7 +42,7 @@
    * Creates and starts an idle engine. The engine itself applies only {@link
    * FaultKind#LAG_REPORTS}; the server and the announcer apply the others.
    */
-  public EngineEmulator(EngineSettings settings, FaultBoard faults, InstantSource clock) {
+  public EngineEmulator(EngineSettings settings, ActiveFaults faults, InstantSource clock) {
     this.settings = settings;
     var memory = settings.memory();
     this.streams = new StreamStore(Duration.ofMillis(memory.keepMillis()), memory.maxKept(), clock);
@@ -202,10 +202,10 @@
     loop.close();
   }
 
-  private Duration loadLag(FaultBoard faults) {
+  private Duration loadLag(ActiveFaults faults) {
     long millis =
         faults
-            .hitting(FaultKind.LAG_REPORTS, "")
+            .findMatching(FaultKind.LAG_REPORTS, "")
             .map(Fault::value)
             .orElse(settings.reports().loadLagMillis());
     return Duration.ofMillis(millis);
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/fault/FaultBoard.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/fault/ActiveFaults.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /** The active faults of one stand-in. Thread-safe. */
-public final class FaultBoard {
+public final class ActiveFaults {
 
   private final InstantSource clock;
   private final Runnable exit;
@@ -24,7 +24,7 @@
    *
    * @param exit ends the process when a request triggers {@link FaultKind#CRASH_ON}
    */
-  public FaultBoard(InstantSource clock, Runnable exit) {
+  public ActiveFaults(InstantSource clock, Runnable exit) {
     this.clock = clock;
     this.exit = exit;
   }
@@ -50,7 +50,7 @@
   }
 
   /** Returns an active fault of the given kind that matches the given text of a request. */
-  public Optional<Fault> hitting(FaultKind kind, String requestText) {
+  public Optional<Fault> findMatching(FaultKind kind, String requestText) {
     if (faults.isEmpty()) {
       return Optional.empty();
     }
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/fault/support/FaultChannelHandler.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/fault/support/FaultChannelHandler.java
@@ -1,7 +1,7 @@
 package io.hawthornlb.standin.fault.support;
 
+import io.hawthornlb.standin.fault.ActiveFaults;
 import io.hawthornlb.standin.fault.Fault;
-import io.hawthornlb.standin.fault.FaultBoard;
 import io.hawthornlb.standin.fault.FaultKind;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.ChannelDuplexHandler;
@@ -33,7 +33,7 @@
   private static final String CONTROL_PATHS = "/standin/";
   private static final int MAX_SEARCHED_BODY_CHARS = 1 << 20;
 
-  private final FaultBoard faults;
+  private final ActiveFaults faults;
   private final Queue<Object> delayed = new ArrayDeque<>();
   private final StringBuilder body = new StringBuilder();
   private long connection;
@@ -42,7 +42,7 @@
   private boolean droppingResponse;
   private boolean delaying;
 
-  FaultChannelHandler(FaultBoard faults) {
+  FaultChannelHandler(ActiveFaults faults) {
     this.faults = faults;
     this.connection = faults.nextConnection();
   }
@@ -125,13 +125,13 @@
       return;
     }
     String line = request.method() + " " + request.uri();
-    if (faults.hitting(FaultKind.REFUSE, line).isPresent()) {
+    if (faults.findMatching(FaultKind.REFUSE, line).isPresent()) {
       ctx.close();
       return;
     }
-    answeringUnavailable = faults.hitting(FaultKind.DOWN, line).isPresent();
-    droppingResponse = faults.hitting(FaultKind.LOSE_ANSWER, line).isPresent();
-    Optional<Fault> slow = faults.hitting(FaultKind.SLOW, line);
+    answeringUnavailable = faults.findMatching(FaultKind.DOWN, line).isPresent();
+    droppingResponse = faults.findMatching(FaultKind.LOSE_ANSWER, line).isPresent();
+    Optional<Fault> slow = faults.findMatching(FaultKind.SLOW, line);
     if (slow.isPresent()) {
       delaying = true;
       ctx.executor().schedule(() -> release(ctx), slow.get().value(), TimeUnit.MILLISECONDS);
@@ -154,7 +154,7 @@
       body.append(content.content().toString(StandardCharsets.UTF_8));
     }
     return message instanceof LastHttpContent
-        && faults.hitting(FaultKind.CRASH_ON, body.toString()).isPresent();
+        && faults.findMatching(FaultKind.CRASH_ON, body.toString()).isPresent();
   }
 
   private void discardAndAnswer(ChannelHandlerContext ctx, Object message) {
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/fault/support/FaultController.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/fault/support/FaultController.java
@@ -1,6 +1,6 @@
 package io.hawthornlb.standin.fault.support;
 
-import io.hawthornlb.standin.fault.FaultBoard;
+import io.hawthornlb.standin.fault.ActiveFaults;
 import io.hawthornlb.standin.fault.FaultKind;
 import io.hawthornlb.standin.fault.FaultOrder;
 import io.hawthornlb.standin.support.StandinServer;
@@ -24,9 +24,9 @@
 
   private static final Duration UNTIL_DELETED = Duration.ofDays(365);
 
-  private final FaultBoard faults;
+  private final ActiveFaults faults;
 
-  FaultController(FaultBoard faults) {
+  FaultController(ActiveFaults faults) {
     this.faults = faults;
   }
 
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/fault/support/FaultPipelineInstaller.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/fault/support/FaultPipelineInstaller.java
@@ -1,6 +1,6 @@
 package io.hawthornlb.standin.fault.support;
 
-import io.hawthornlb.standin.fault.FaultBoard;
+import io.hawthornlb.standin.fault.ActiveFaults;
 import io.hawthornlb.standin.support.StandinServer;
 import io.micronaut.context.annotation.Requires;
 import io.micronaut.context.event.BeanCreatedEvent;
@@ -17,9 +17,9 @@
 final class FaultPipelineInstaller
     implements BeanCreatedEventListener<NettyServerCustomizer.Registry> {
 
-  private final FaultBoard faults;
+  private final ActiveFaults faults;
 
-  FaultPipelineInstaller(FaultBoard faults) {
+  FaultPipelineInstaller(ActiveFaults faults) {
     this.faults = faults;
   }
 
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/platform/PlatformStandin.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/platform/PlatformStandin.java
@@ -1,7 +1,7 @@
 package io.hawthornlb.standin.platform;
 
 import io.hawthornlb.standin.RunningStandin;
-import io.hawthornlb.standin.fault.FaultBoard;
+import io.hawthornlb.standin.fault.ActiveFaults;
 import io.hawthornlb.standin.fault.FaultKind;
 import io.hawthornlb.standin.platform.support.AppendLimit;
 import io.hawthornlb.standin.platform.support.AppendWaiters;
@@ -36,7 +36,7 @@
   /** Starts a platform that calls {@code exit} when a request triggers a crash fault. */
   public static RunningStandin start(PlatformSettings settings, Runnable exit) {
     InstantSource clock = InstantSource.system();
-    FaultBoard faults = new FaultBoard(clock, exit);
+    ActiveFaults faults = new ActiveFaults(clock, exit);
     InstanceDirectory directory =
         new InstanceDirectory(
             Duration.ofMillis(settings.instanceListLagMillis()),
@@ -70,7 +70,7 @@
   }
 
   private record RunningPlatform(
-      StandinServer server, FaultBoard faults, ScheduledExecutorService timer)
+      StandinServer server, ActiveFaults faults, ScheduledExecutorService timer)
       implements RunningStandin {
 
     @Override
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/service/ServiceStandin.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/service/ServiceStandin.java
@@ -1,7 +1,7 @@
 package io.hawthornlb.standin.service;
 
 import io.hawthornlb.standin.RunningStandin;
-import io.hawthornlb.standin.fault.FaultBoard;
+import io.hawthornlb.standin.fault.ActiveFaults;
 import io.hawthornlb.standin.service.support.EchoService;
 import io.hawthornlb.standin.support.Announcer;
 import io.hawthornlb.standin.support.ProcessExit;
@@ -27,7 +27,7 @@
   /** Starts a service that calls {@code exit} when a request triggers a crash fault. */
   public static RunningStandin start(ServiceSettings settings, Runnable exit) {
     StandinIdentity identity = settings.identity();
-    FaultBoard faults = new FaultBoard(InstantSource.system(), exit);
+    ActiveFaults faults = new ActiveFaults(InstantSource.system(), exit);
     CallCounter counter = new CallCounter(settings.maxKeys());
     EchoService echo = new EchoService(settings, counter);
     StandinServer server =
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/support/Announcer.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/support/Announcer.java
@@ -1,6 +1,6 @@
 package io.hawthornlb.standin.support;
 
-import io.hawthornlb.standin.fault.FaultBoard;
+import io.hawthornlb.standin.fault.ActiveFaults;
 import java.io.IOException;
 import java.lang.System.Logger;
 import java.lang.System.Logger.Level;
@@ -25,19 +25,19 @@
 
   private final StandinIdentity identity;
   private final int port;
-  private final FaultBoard faults;
+  private final ActiveFaults faults;
   private final HttpClient client = HttpClient.newBuilder().connectTimeout(CALL_TIMEOUT).build();
   private final ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor();
   private boolean failed;
 
-  private Announcer(StandinIdentity identity, int port, FaultBoard faults) {
+  private Announcer(StandinIdentity identity, int port, ActiveFaults faults) {
     this.identity = identity;
     this.port = port;
     this.faults = faults;
   }
 
   /** Starts the announcements; sends none if the identity names no platform. */
-  public static Announcer start(StandinIdentity identity, int port, FaultBoard faults) {
+  public static Announcer start(StandinIdentity identity, int port, ActiveFaults faults) {
     Announcer announcer = new Announcer(identity, port, faults);
     if (!identity.platform().isBlank()) {
       announcer.timer.scheduleWithFixedDelay(
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/support/HealthController.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/support/HealthController.java
@@ -1,6 +1,6 @@
 package io.hawthornlb.standin.support;
 
-import io.hawthornlb.standin.fault.FaultBoard;
+import io.hawthornlb.standin.fault.ActiveFaults;
 import io.micronaut.context.annotation.Requires;
 import io.micronaut.http.HttpResponse;
 import io.micronaut.http.HttpStatus;
@@ -12,9 +12,9 @@
 @Requires(property = StandinServer.STANDIN_PROPERTY)
 final class HealthController {
 
-  private final FaultBoard faults;
+  private final ActiveFaults faults;
 
-  HealthController(FaultBoard faults) {
+  HealthController(ActiveFaults faults) {
     this.faults = faults;
   }
 
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/support/RunningEndpoint.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/support/RunningEndpoint.java
@@ -1,7 +1,7 @@
 package io.hawthornlb.standin.support;
 
 import io.hawthornlb.standin.RunningStandin;
-import io.hawthornlb.standin.fault.FaultBoard;
+import io.hawthornlb.standin.fault.ActiveFaults;
 import java.time.Duration;
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.IntSupplier;
@@ -17,7 +17,7 @@
  */
 public record RunningEndpoint(
     StandinServer server,
-    FaultBoard faults,
+    ActiveFaults faults,
     Announcer announcer,
     IntSupplier inProgress,
     Runnable atEnd)
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/support/StandinServer.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/support/StandinServer.java
@@ -1,6 +1,6 @@
 package io.hawthornlb.standin.support;
 
-import io.hawthornlb.standin.fault.FaultBoard;
+import io.hawthornlb.standin.fault.ActiveFaults;
 import io.micronaut.context.ApplicationContext;
 import io.micronaut.runtime.server.EmbeddedServer;
 import java.util.HashMap;
@@ -37,7 +37,7 @@
    * @param port the port, or 0 for any free port
    */
   public static StandinServer start(
-      String role, int port, int threads, FaultBoard faults, List<Object> beans) {
+      String role, int port, int threads, ActiveFaults faults, List<Object> beans) {
     ApplicationContext context =
         ApplicationContext.builder()
             .properties(properties(role, port, threads))
