--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/fault/support/FaultPipelineInstaller.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/fault/support/FaultPipelineInstaller.java
@@ -1,6 +1,6 @@
 package io.hawthornlb.standin.fault.support;
 
-import io.hawthornlb.standin.fault.FaultBoard;
+import io.hawthornlb.standin.fault.ActiveFaults;
 import io.hawthornlb.standin.support.StandinServer;
 import io.micronaut.context.annotation.Requires;
 import io.micronaut.context.event.BeanCreatedEvent;
@@ -11,15 +11,15 @@
 import jakarta.inject.Singleton;
 import org.jspecify.annotations.Nullable;
 
-/** Puts a {@link FaultChannelHandler} into each connection. */
+/** Adds a {@link FaultChannelHandler} to the pipeline of each connection. */
 @Singleton
 @Requires(property = StandinServer.STANDIN_PROPERTY)
 final class FaultPipelineInstaller
     implements BeanCreatedEventListener<NettyServerCustomizer.Registry> {
 
-  private final FaultBoard faults;
+  private final ActiveFaults faults;
 
-  FaultPipelineInstaller(FaultBoard faults) {
+  FaultPipelineInstaller(ActiveFaults faults) {
     this.faults = faults;
   }
 
@@ -40,8 +40,8 @@
     }
 
     @Override
-    public NettyServerCustomizer specializeForChannel(Channel special, ChannelRole role) {
-      return new Installer(special);
+    public NettyServerCustomizer specializeForChannel(Channel specialized, ChannelRole role) {
+      return new Installer(specialized);
     }
 
     @Override
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/support/HealthController.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/support/HealthController.java
@@ -1,24 +1,24 @@
 package io.hawthornlb.standin.support;
 
-import io.hawthornlb.standin.fault.FaultBoard;
+import io.hawthornlb.standin.fault.ActiveFaults;
 import io.micronaut.context.annotation.Requires;
 import io.micronaut.http.HttpResponse;
 import io.micronaut.http.HttpStatus;
 import io.micronaut.http.annotation.Controller;
 import io.micronaut.http.annotation.Get;
 
-/** Says whether the process takes new work. */
+/** Serves the health check: status 200 if the process accepts new work, else status 503. */
 @Controller("/health")
 @Requires(property = StandinServer.STANDIN_PROPERTY)
 final class HealthController {
 
-  private final FaultBoard faults;
+  private final ActiveFaults faults;
 
-  HealthController(FaultBoard faults) {
+  HealthController(ActiveFaults faults) {
     this.faults = faults;
   }
 
-  /** The state of the process. */
+  /** The body of the health check: {@code live} or {@code leaving}. */
   record Health(String state) {}
 
   @Get
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/support/RunningEndpoint.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/support/RunningEndpoint.java
@@ -1,20 +1,23 @@
 package io.hawthornlb.standin.support;
 
 import io.hawthornlb.standin.RunningStandin;
-import io.hawthornlb.standin.fault.FaultBoard;
+import io.hawthornlb.standin.fault.ActiveFaults;
 import java.time.Duration;
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.IntSupplier;
 
 /**
- * A started endpoint stand-in.
+ * A running endpoint stand-in.
  *
- * @param inProgress how many requests have no answer yet
- * @param atEnd what is stopped after the server
+ * @param server the HTTP server
+ * @param faults the active faults
+ * @param announcer the announcer, which is closed before the server
+ * @param inProgress returns the number of requests in progress
+ * @param atEnd runs after the server is closed
  */
 public record RunningEndpoint(
     StandinServer server,
-    FaultBoard faults,
+    ActiveFaults faults,
     Announcer announcer,
     IntSupplier inProgress,
     Runnable atEnd)
