--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/bound/BoundDay.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/bound/BoundDay.java
@@ -6,17 +6,17 @@
 import java.util.List;
 
 /**
- * A day of one service: its slots, what is lost for a while, and what arrives.
+ * A simulated day of one service: its slots, its outages and its demands.
  *
- * @param lengthMillis time until which work counts
- * @param slots slots of all endpoints
- * @param losses times for which slots or the store are out of reach
- * @param demands what arrives
+ * @param lengthMillis the length of the day in milliseconds; work done after the end doesn't count
+ * @param slots the number of slots of all endpoints together
+ * @param losses the outages of slots or of the store
+ * @param demands the requests that arrive
  */
 @JsonDeserialize(builder = BoundDay.Builder.class)
-public record BoundDay(long lengthMillis, int slots, List<Loss> losses, List<Demand> demands) {
+public record BoundDay(long lengthMillis, int slots, List<Outage> losses, List<Demand> demands) {
 
-  /** Checks the values. */
+  /** Validates the components. */
   public BoundDay {
     SettingsChecks.isTrue(lengthMillis > 0, "lengthMillis must be above 0");
     SettingsChecks.isTrue(slots > 0, "slots must be above 0");
@@ -24,72 +24,73 @@
     demands = List.copyOf(demands);
   }
 
-  /** Returns the slots that can be used at a moment. */
+  /** Returns the number of slots that are available at a time of the day; at least 0. */
   public int slotsAt(long millis) {
-    int lost = losses.stream().filter(loss -> loss.holds(millis)).mapToInt(Loss::slots).sum();
-    return Math.max(0, slots - lost);
+    int unavailable =
+        losses.stream().filter(outage -> outage.contains(millis)).mapToInt(Outage::slots).sum();
+    return Math.max(0, slots - unavailable);
   }
 
-  /** Returns whether the store takes something at some moment of a span. */
-  public boolean storeWithin(long fromMillis, long toMillis) {
+  /** Returns whether the store is available at any time of a span, both ends included. */
+  public boolean isStoreAvailableWithin(long fromMillis, long toMillis) {
     long millis = fromMillis;
     while (millis <= toMillis) {
-      long moment = millis;
-      long back =
+      long time = millis;
+      long availableFrom =
           losses.stream()
-              .filter(loss -> loss.store() && loss.holds(moment))
-              .mapToLong(Loss::toMillis)
+              .filter(outage -> outage.store() && outage.contains(time))
+              .mapToLong(Outage::toMillis)
               .max()
-              .orElse(moment);
-      if (back == moment) {
+              .orElse(time);
+      if (availableFrom == time) {
         return true;
       }
-      millis = back;
+      millis = availableFrom;
     }
     return false;
   }
 
-  /** Returns a builder with the defaults. */
+  /** Returns a builder that holds the default values. */
   public static Builder builder() {
     return new Builder();
   }
 
-  /** Collects the values. */
+  /** Builder for {@link BoundDay}. */
   @JsonPOJOBuilder(withPrefix = "")
   public static final class Builder {
 
     private long lengthMillis = 0;
     private int slots = 0;
-    private List<Loss> losses = List.of();
+    private List<Outage> losses = List.of();
     private List<Demand> demands = List.of();
 
     private Builder() {}
 
-    /** Sets the time until which work counts; required. */
+    /** Sets the length of the day in milliseconds; required. */
     public Builder lengthMillis(long value) {
       lengthMillis = value;
       return this;
     }
 
-    /** Sets the slots of all endpoints; required. */
+    /** Sets the number of slots of all endpoints together; required. */
     public Builder slots(int value) {
       slots = value;
       return this;
     }
 
-    /** Sets what is lost for a while; nothing by default. */
-    public Builder losses(List<Loss> value) {
+    /** Sets the outages of slots or of the store; none by default. */
+    public Builder losses(List<Outage> value) {
       losses = value;
       return this;
     }
 
-    /** Sets what arrives; nothing by default. */
+    /** Sets the requests that arrive; none by default. */
     public Builder demands(List<Demand> value) {
       demands = value;
       return this;
     }
 
-    /** Returns the checked values. */
+    /** Returns a validated day. */
     public BoundDay build() {
       return new BoundDay(lengthMillis, slots, losses, demands);
     }
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/bound/Demand.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/bound/Demand.java
@@ -7,15 +7,15 @@
 import java.util.List;
 
 /**
- * Requests of one kind: when they come, how long each uses a slot and what it is worth in time.
+ * Requests of one kind, with their arrival rates, slot usage, deadline and worth.
  *
- * @param name name in the report
- * @param phases when requests arrive
- * @param workMillis time for which a request uses a slot
- * @param withinMillis time after its arrival by which it must be done
- * @param worth what a request that is done in time is worth
- * @param storedWithinMillis time within which the store must have taken it; negative if it needs no
- *     store
+ * @param name the name of the demand in the report
+ * @param phases the time spans in which requests arrive, each with its rate
+ * @param workMillis the time for which a request uses a slot, in milliseconds
+ * @param withinMillis the deadline of a request, in milliseconds after its arrival
+ * @param worth the worth of a request that completes by its deadline
+ * @param storedWithinMillis the time after its arrival within which the store must accept a
+ *     request, in milliseconds; negative if the request doesn't need the store
  */
 @JsonDeserialize(builder = Demand.Builder.class)
 public record Demand(
@@ -26,7 +26,7 @@
     double worth,
     long storedWithinMillis) {
 
-  /** Checks the values. */
+  /** Validates the components. */
   public Demand {
     SettingsChecks.isTrue(!name.isEmpty(), "name must not be empty");
     phases = List.copyOf(phases);
@@ -35,17 +35,17 @@
     SettingsChecks.isTrue(worth > 0, "worth must be above 0");
   }
 
-  /** Returns the worth that a slot earns in a millisecond. */
+  /** Returns the worth that one slot earns per millisecond while it processes this demand. */
   public double worthPerSlotMilli() {
     return worth / workMillis;
   }
 
-  /** Returns a builder with the defaults. */
+  /** Returns a builder that holds the default values. */
   public static Builder builder() {
     return new Builder();
   }
 
-  /** Collects the values. */
+  /** Builder for {@link Demand}. */
   @JsonPOJOBuilder(withPrefix = "")
   public static final class Builder {
 
@@ -58,43 +58,46 @@
 
     private Builder() {}
 
-    /** Sets the name; required. */
+    /** Sets the name of the demand in the report; required. */
     public Builder name(String value) {
       name = value;
       return this;
     }
 
-    /** Sets when requests arrive; never by default. */
+    /** Sets the time spans in which requests arrive; none by default. */
     public Builder phases(List<Phase> value) {
       phases = value;
       return this;
     }
 
-    /** Sets for how long a request uses a slot; required. */
+    /** Sets the time for which a request uses a slot, in milliseconds; required. */
     public Builder workMillis(long value) {
       workMillis = value;
       return this;
     }
 
-    /** Sets the time by which a request must be done; required. */
+    /** Sets the deadline of a request, in milliseconds after its arrival; required. */
     public Builder withinMillis(long value) {
       withinMillis = value;
       return this;
     }
 
-    /** Sets what a request is worth; required. */
+    /** Sets the worth of a request that completes by its deadline; required. */
     public Builder worth(double value) {
       worth = value;
       return this;
     }
 
-    /** Sets the time within which the store must have taken a request; none by default. */
+    /**
+     * Sets the time after its arrival within which the store must accept a request, in
+     * milliseconds; by default negative, so that the request doesn't need the store.
+     */
     public Builder storedWithinMillis(long value) {
       storedWithinMillis = value;
       return this;
     }
 
-    /** Returns the checked values. */
+    /** Returns a validated demand. */
     public Demand build() {
       return new Demand(name, phases, workMillis, withinMillis, worth, storedWithinMillis);
     }
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/bound/WorthBound.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/bound/WorthBound.java
@@ -2,9 +2,9 @@
 
 import java.util.List;
 
-/** Computes the worth that no policy can exceed on a day. */
+/** Computes an upper bound on the worth that any scheduling policy can earn on a day. */
 public interface WorthBound {
 
-  /** Returns the bound of each demand, in the order of the day. */
+  /** Returns the bound of each demand, in the order in which the day lists the demands. */
   List<DemandBound> of(BoundDay day);
 }
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/bound/support/FlowWorthBound.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/bound/support/FlowWorthBound.java
@@ -11,27 +11,32 @@
 import java.util.Map;
 
 /**
- * Bound of work that flows from its arrivals to the slots of the steps until it is due.
+ * Computes the bound as the maximum flow of work from its arrivals to the slots of the time steps
+ * up to its deadline.
  *
- * <p>Work may be cut at will, moved at no cost and done by all slots at once, and what is to come
- * is known: each policy does less. The demands are served by the worth that a slot earns with them;
- * flow that one has is never taken back for the next, but may move to other steps. So the whole is
- * the most that can be earned: what can be served together is a matroid.
+ * <p>The model is more generous than any real policy. Work can be split arbitrarily, moves between
+ * slots at no cost and can run in all slots in parallel. All future arrivals are known. Therefore
+ * no policy can earn more.
+ *
+ * <p>The demands are added to the network in descending order of the worth that a slot earns per
+ * millisecond with them. A demand that is added later never reduces the flow of an earlier demand,
+ * but can shift that flow to other time steps. This greedy order yields the maximum total worth
+ * because the sets of work that can be served together form a matroid.
  */
 public final class FlowWorthBound implements WorthBound {
 
-  /** Length of a step; work and arrivals within one are not told apart. */
+  /** The length of a time step. Times within one step are not distinguished. */
   private static final int STEP_MILLIS = 200;
 
   @Override
   public List<DemandBound> of(BoundDay day) {
-    Network network = new Network(day);
+    FlowNetwork flowNetwork = new FlowNetwork(day);
     Map<Demand, Long> served = new HashMap<>();
-    Comparator<Demand> dearestFirst =
+    Comparator<Demand> highestWorthFirst =
         Comparator.comparingDouble(Demand::worthPerSlotMilli).reversed();
     day.demands().stream()
-        .sorted(dearestFirst)
-        .forEach(demand -> served.put(demand, network.serve(demand)));
+        .sorted(highestWorthFirst)
+        .forEach(demand -> served.put(demand, flowNetwork.serve(demand)));
     return day.demands().stream().map(demand -> bound(day, demand, served.get(demand))).toList();
   }
 
@@ -69,43 +74,45 @@
   private static boolean canBeStored(BoundDay day, Demand demand, int step) {
     long arrived = (long) step * STEP_MILLIS;
     return demand.storedWithinMillis() < 0
-        || day.storeWithin(arrived, arrived + demand.storedWithinMillis());
+        || day.isStoreAvailableWithin(arrived, arrived + demand.storedWithinMillis());
   }
 
-  /** Arrivals on one side, the steps with their slots on the other. */
-  private static final class Network {
+  /**
+   * A bipartite flow network from arrivals to time steps, whose slots limit the flow to the sink.
+   */
+  private static final class FlowNetwork {
 
     private final BoundDay day;
     private final MaxFlow flow = new MaxFlow();
-    private final int source = flow.node();
-    private final int sink = flow.node();
-    private final int[] slotsOfSteps;
+    private final int source = flow.addNode();
+    private final int sink = flow.addNode();
+    private final int[] stepNodes;
 
-    private Network(BoundDay day) {
+    private FlowNetwork(BoundDay day) {
       this.day = day;
-      slotsOfSteps = new int[steps(day)];
-      for (int step = 0; step < slotsOfSteps.length; step++) {
-        slotsOfSteps[step] = flow.node();
+      stepNodes = new int[steps(day)];
+      for (int step = 0; step < stepNodes.length; step++) {
+        stepNodes[step] = flow.addNode();
         long slots = day.slotsAt((long) step * STEP_MILLIS);
-        flow.edge(slotsOfSteps[step], sink, slots * STEP_MILLIS);
+        flow.addEdge(stepNodes[step], sink, slots * STEP_MILLIS);
       }
     }
 
-    /** Adds a demand and returns for how many milliseconds slots can serve it. */
+    /** Adds a demand and returns the slot time that can serve it, in milliseconds. */
     private long serve(Demand demand) {
       int window = (int) Math.ceil((double) demand.withinMillis() / STEP_MILLIS);
-      for (int step = 0; step < slotsOfSteps.length; step++) {
+      for (int step = 0; step < stepNodes.length; step++) {
         long work = Math.round(arrivals(demand, step) * demand.workMillis());
         if (work > 0 && canBeStored(day, demand, step)) {
-          int arrivals = flow.node();
-          flow.edge(source, arrivals, work);
-          int last = Math.min(slotsOfSteps.length - 1, step + window);
-          for (int at = step; at <= last; at++) {
-            flow.edge(arrivals, slotsOfSteps[at], Long.MAX_VALUE);
+          int arrivalNode = flow.addNode();
+          flow.addEdge(source, arrivalNode, work);
+          int last = Math.min(stepNodes.length - 1, step + window);
+          for (int servedStep = step; servedStep <= last; servedStep++) {
+            flow.addEdge(arrivalNode, stepNodes[servedStep], Long.MAX_VALUE);
           }
         }
       }
-      return flow.increase(source, sink);
+      return flow.augment(source, sink);
     }
   }
 }
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/bound/support/MaxFlow.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/bound/support/MaxFlow.java
@@ -6,44 +6,47 @@
 import java.util.Deque;
 import java.util.List;
 
-/** Largest flow through a network, found by blocking flows along shortest paths (Dinic). */
+/** Computes the maximum flow through a network with Dinic's algorithm. */
 final class MaxFlow {
 
   private static final int UNREACHED = -1;
 
   private final List<List<Edge>> edges = new ArrayList<>();
 
-  /** An edge; its reverse holds what can be taken back. */
+  /** A directed edge. The capacity of its reverse edge is the flow that can be cancelled. */
   private static final class Edge {
 
     private final int to;
     private final int reverse;
-    private long room;
+    private long residualCapacity;
 
-    private Edge(int to, int reverse, long room) {
+    private Edge(int to, int reverse, long residualCapacity) {
       this.to = to;
       this.reverse = reverse;
-      this.room = room;
+      this.residualCapacity = residualCapacity;
     }
   }
 
-  /** Adds a node and returns its number. */
-  int node() {
+  /** Adds a node and returns its index. */
+  int addNode() {
     edges.add(new ArrayList<>());
     return edges.size() - 1;
   }
 
-  /** Adds an edge with a capacity. */
-  void edge(int from, int to, long capacity) {
+  /** Adds a directed edge with the given capacity. */
+  void addEdge(int from, int to, long capacity) {
     edges.get(from).add(new Edge(to, edges.get(to).size(), capacity));
     edges.get(to).add(new Edge(from, edges.get(from).size() - 1, 0));
   }
 
   /**
-   * Adds as much flow as there is room for, and returns how much that is. What flowed out of the
-   * source before goes on doing so.
+   * Augments the flow to the maximum that the residual capacities allow.
+   *
+   * <p>An augmentation never reduces the flow on the edges that leave the source.
+   *
+   * @return the added flow
    */
-  long increase(int source, int sink) {
+  long augment(int source, int sink) {
     long added = 0;
     int[] distance = distances(source, sink);
     while (distance[sink] != UNREACHED) {
@@ -62,31 +65,40 @@
     int[] distance = new int[edges.size()];
     Arrays.fill(distance, UNREACHED);
     distance[source] = 0;
-    Deque<Integer> open = new ArrayDeque<>(List.of(source));
-    while (!open.isEmpty() && distance[sink] == UNREACHED) {
-      int node = open.remove();
+    Deque<Integer> queue = new ArrayDeque<>(List.of(source));
+    while (!queue.isEmpty() && distance[sink] == UNREACHED) {
+      int node = queue.remove();
       for (Edge edge : edges.get(node)) {
-        if (edge.room > 0 && distance[edge.to] == UNREACHED) {
+        if (edge.residualCapacity > 0 && distance[edge.to] == UNREACHED) {
           distance[edge.to] = distance[node] + 1;
-          open.add(edge.to);
+          queue.add(edge.to);
         }
       }
     }
     return distance;
   }
 
-  /** Pushes flow along one path that gets nearer to the sink with each edge. */
-  private long push(int node, int sink, long most, int[] distance, int[] next) {
+  /**
+   * Pushes flow along one shortest path to the sink.
+   *
+   * @param limit the most flow to push
+   * @param distance the distance of each node from the source; each edge of the path leads to the
+   *     next greater distance
+   * @param next the index of the first edge of each node that can still carry flow; advanced past
+   *     exhausted edges
+   * @return the flow that was pushed; 0 if there is no path left
+   */
+  private long push(int node, int sink, long limit, int[] distance, int[] next) {
     if (node == sink) {
-      return most;
+      return limit;
     }
     while (next[node] < edges.get(node).size()) {
       Edge edge = edges.get(node).get(next[node]);
-      if (edge.room > 0 && distance[edge.to] == distance[node] + 1) {
-        long pushed = push(edge.to, sink, Math.min(most, edge.room), distance, next);
+      if (edge.residualCapacity > 0 && distance[edge.to] == distance[node] + 1) {
+        long pushed = push(edge.to, sink, Math.min(limit, edge.residualCapacity), distance, next);
         if (pushed > 0) {
-          edge.room -= pushed;
-          edges.get(edge.to).get(edge.reverse).room += pushed;
+          edge.residualCapacity -= pushed;
+          edges.get(edge.to).get(edge.reverse).residualCapacity += pushed;
           return pushed;
         }
       }
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/bound/support/package-info.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/bound/support/package-info.java
@@ -1,4 +1,4 @@
-/** Computes the bound as a flow from arrivals to the slots of each moment. */
+/** Computation of the bound as the maximum flow from arrivals to the slots of each time step. */
 @NullMarked
 package io.hawthornlb.standin.bound.support;
 
--- a/hawthornlb-standin/src/test/java/io/hawthornlb/standin/bound/FlowWorthBoundTest.java
+++ b/hawthornlb-standin/src/test/java/io/hawthornlb/standin/bound/FlowWorthBoundTest.java
@@ -17,38 +17,38 @@
 
 class FlowWorthBoundTest {
 
-  private static final double CLOSE = 0.01;
+  private static final double TOLERANCE = 0.01;
 
   private final FlowWorthBound bound = new FlowWorthBound();
 
   @Test
-  void allIsServedWhileSlotsSuffice() {
+  void servesAllRequestsWhenSlotsSuffice() {
     DemandBound only = bound.of(day(List.of(), requests(10, 400, 1_000))).get(0);
-    assertEquals(100, only.owed(), CLOSE);
-    assertEquals(100, only.most(), CLOSE);
+    assertEquals(100, only.owed(), TOLERANCE);
+    assertEquals(100, only.most(), TOLERANCE);
   }
 
   @Test
-  void noMoreIsServedThanSlotsAllow() {
-    // 40 requests a second of 200 ms want 8 slots of the 4 there are.
+  void servesNoMoreThanSlotsAllow() {
+    // 40 requests per second of 200 ms each need 8 slots, but the day has only 4.
     DemandBound only = bound.of(day(List.of(), requests(40, 200, 200))).get(0);
-    assertEquals(400, only.owed(), CLOSE);
+    assertEquals(400, only.owed(), TOLERANCE);
     assertEquals(200, only.most(), 8);
-    assertEquals(0, only.withoutStore(), CLOSE);
+    assertEquals(0, only.withoutStore(), TOLERANCE);
   }
 
   @Test
-  void workThatMayWaitIsDoneAroundALoss() {
-    Loss all = Loss.builder().fromMillis(2_000).toMillis(4_000).slots(4).build();
-    DemandBound patient = bound.of(day(List.of(all), requests(5, 400, 4_000))).get(0);
-    DemandBound urgent = bound.of(day(List.of(all), requests(5, 400, 400))).get(0);
-    assertEquals(patient.owed(), patient.most(), CLOSE);
+  void schedulesDeferrableWorkAroundAnOutage() {
+    Outage allSlots = Outage.builder().fromMillis(2_000).toMillis(4_000).slots(4).build();
+    DemandBound deferrable = bound.of(day(List.of(allSlots), requests(5, 400, 4_000))).get(0);
+    DemandBound urgent = bound.of(day(List.of(allSlots), requests(5, 400, 400))).get(0);
+    assertEquals(deferrable.owed(), deferrable.most(), TOLERANCE);
     assertTrue(urgent.most() < 0.9 * urgent.owed(), urgent.toString());
   }
 
   @Test
-  void whatTheStoreCannotTakeInTimeIsLostToAll() {
-    Loss store = Loss.builder().fromMillis(2_000).toMillis(4_000).store(true).build();
+  void excludesRequestsThatTheStoreCannotAcceptInTime() {
+    Outage store = Outage.builder().fromMillis(2_000).toMillis(4_000).store(true).build();
     Demand jobs =
         Demand.builder()
             .name("jobs")
@@ -59,29 +59,29 @@
             .storedWithinMillis(400)
             .build();
     DemandBound only = bound.of(day(List.of(store), jobs)).get(0);
-    // Of the 2 s the last 0.4 s can be bridged.
+    // Requests of the last 0.4 s of the 2 s outage are stored in time, after the store recovers.
     assertEquals(16, only.withoutStore(), 2);
-    assertEquals(0, only.withoutSlots(), CLOSE);
+    assertEquals(0, only.withoutSlots(), TOLERANCE);
   }
 
   @Test
-  void theDearerDemandComesFirstAndTheOtherMovesAside() {
+  void servesTheDemandOfHigherWorthFirstAndShiftsTheOther() {
     Demand cheap = requests(5, 800, 10_000);
-    Demand dear =
+    Demand valuable =
         Demand.builder()
-            .name("dear")
+            .name("valuable")
             .phases(phases(10))
             .workMillis(200)
             .withinMillis(200)
             .worth(5)
             .build();
-    List<DemandBound> bounds = bound.of(day(List.of(), cheap, dear));
-    assertEquals(bounds.get(1).owed(), bounds.get(1).most(), CLOSE);
+    List<DemandBound> bounds = bound.of(day(List.of(), cheap, valuable));
+    assertEquals(bounds.get(1).owed(), bounds.get(1).most(), TOLERANCE);
     assertEquals(25, bounds.get(0).most(), 1);
   }
 
   @Test
-  void readsADayAndRefusesFaultsWithTheirPlace(@TempDir Path folder) throws IOException {
+  void readsADayAndRejectsInvalidSettings(@TempDir Path folder) throws IOException {
     Path file = folder.resolve("day.yaml");
     Files.writeString(
         file,
@@ -95,16 +95,16 @@
             worth: 1
             phases: [{toMillis: 10000, perSecond: 10}]
         """);
-    assertEquals(100, bound.of(SettingsReader.read(file, BoundDay.class)).get(0).owed(), CLOSE);
+    assertEquals(100, bound.of(SettingsReader.read(file, BoundDay.class)).get(0).owed(), TOLERANCE);
     Files.writeString(file, "lengthMillis: 10000\nslots: 0\n");
     assertThrows(InvalidSettingsException.class, () -> SettingsReader.read(file, BoundDay.class));
   }
 
-  private static BoundDay day(List<Loss> losses, Demand... demands) {
+  private static BoundDay day(List<Outage> outages, Demand... demands) {
     return BoundDay.builder()
         .lengthMillis(10_000)
         .slots(4)
-        .losses(losses)
+        .losses(outages)
         .demands(List.of(demands))
         .build();
   }
