--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/LoadTool.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/LoadTool.java
@@ -66,7 +66,7 @@
     progress.println("load: online load without jobs");
     RunResult alone = new LoadRun(scenario.withoutJobs(), progress).run();
     progress.println("load: the same with jobs");
-    return new LoadRun(scenario, progress).run().beside(alone);
+    return new LoadRun(scenario, progress).run().withBaseline(alone);
   }
 
   private static void checkItems(Scenario scenario) {
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/report/Count.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/report/Count.java
@@ -1,4 +1,4 @@
 package io.hawthornlb.standin.report;
 
-/** How often something came about. */
+/** The number of occurrences of one named cause, such as the reason of a refusal. */
 public record Count(String name, long count) {}
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/report/FlowLabel.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/report/FlowLabel.java
@@ -1,4 +1,4 @@
 package io.hawthornlb.standin.report;
 
-/** Which flow, class and workspace a measurement belongs to. */
+/** The flow, request class and workspace that a measurement belongs to. */
 public record FlowLabel(String name, String requestClass, String workspace) {}
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/report/FlowResult.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/report/FlowResult.java
@@ -3,21 +3,21 @@
 import java.util.List;
 
 /**
- * What came of a flow of requests.
+ * The results of a flow of requests.
  *
  * @param label the flow
- * @param sent requests that arrived
- * @param answered those with the whole and right answer
- * @param unfinished those without any end when the run ended
- * @param resent sendings beyond the first of a request, by what became of the one before
- * @param refused refusals by reason
- * @param refusedRun refusals by what they say of the run
- * @param failed requests without answer or refusal, by cause
- * @param cut answers that began and did not end, by cause
- * @param wrong answers that look whole and are wrong, by fault
- * @param firstToken time to the first token
- * @param tokenGap time between two tokens
- * @param total time to the whole answer
+ * @param sent the number of requests that arrived
+ * @param answered the number of requests with a complete and correct answer
+ * @param unfinished the number of requests without an outcome when the run ended
+ * @param resent the retries of requests, by the reason of the preceding attempt's outcome
+ * @param refused the refusals, by reason
+ * @param refusedRun the refusals, by what they say about whether the request ran
+ * @param failed the requests without an answer or refusal, by cause
+ * @param cut the answers that began but didn't end, by cause
+ * @param wrong the answers that look complete but are wrong, by the kind of error
+ * @param firstToken the time to the first token
+ * @param tokenGap the time between two successive tokens
+ * @param total the time to the complete answer
  */
 public record FlowResult(
     FlowLabel label,
@@ -34,7 +34,7 @@
     Percentiles tokenGap,
     Percentiles total) {
 
-  /** Returns the sum of counts. */
+  /** Returns the sum of the counts of all names. */
   public static long sum(List<Count> counts) {
     return counts.stream().mapToLong(Count::count).sum();
   }
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/report/JobResult.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/report/JobResult.java
@@ -3,19 +3,20 @@
 import java.util.List;
 
 /**
- * What came of a batch job.
+ * The result of a batch job.
  *
- * @param flow the flow that submitted it
- * @param id the id that it got; blank when it was never accepted
- * @param status the last status seen
- * @param items items submitted
- * @param completed items that completed
- * @param failed items that failed
- * @param acceptedMillis from the intended submission to the acceptance
- * @param doneMillis from the intended submission to the end; 0 when it did not end
- * @param dueMillis when it was due after its submission; 0 for never
- * @param itemsPerSecond ended items a second between acceptance and end
- * @param faults what is wrong with it or its results
+ * @param flow the flow that submitted the job
+ * @param id the id that the job was given; blank if the job was never accepted
+ * @param status the last observed status
+ * @param items the number of submitted items
+ * @param completed the number of completed items
+ * @param failed the number of failed items
+ * @param acceptedMillis the time from the intended submission to the acceptance
+ * @param doneMillis the time from the intended submission to the end of the job; 0 if the job did
+ *     not end
+ * @param dueMillis the due time of the job, counted from its submission; 0 if it has none
+ * @param itemsPerSecond the ended items per second between the acceptance and the end of the job
+ * @param faults the faults found in the job or its results
  */
 public record JobResult(
     String flow,
@@ -30,7 +31,7 @@
     double itemsPerSecond,
     List<String> faults) {
 
-  /** Copies the faults. */
+  /** Makes a defensive copy of the faults. */
   public JobResult {
     faults = List.copyOf(faults);
   }
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/report/Latency.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/report/Latency.java
@@ -3,22 +3,22 @@
 import java.util.List;
 
 /**
- * How long an answer took, in nanoseconds from the time at which its request was meant to start.
+ * Latency of one answer, in nanoseconds from the intended start of its request.
  *
- * <p>Counting from there, and not from the sending, shows the wait of requests that a stall held
- * up.
+ * <p>The latency counts from the intended start and not from the time of sending. So it includes
+ * the waiting time of requests that a stall delayed (coordinated omission is avoided).
  *
- * @param tokens when tokens came; empty for an answer in one piece
- * @param total when the answer was whole
+ * @param tokens the times at which tokens arrived; empty for an answer that isn't streamed
+ * @param total the time at which the answer was complete
  */
 public record Latency(List<Long> tokens, long total) {
 
-  /** Copies the times. */
+  /** Makes a defensive copy of the token times. */
   public Latency {
     tokens = List.copyOf(tokens);
   }
 
-  /** Returns the latency of an answer in one piece. */
+  /** Returns the latency of an answer that isn't streamed. */
   public static Latency whole(long total) {
     return new Latency(List.of(), total);
   }
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/report/NamedPercentiles.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/report/NamedPercentiles.java
@@ -1,4 +1,4 @@
 package io.hawthornlb.standin.report;
 
-/** The percentiles of the total time of one class or workspace. */
+/** The percentiles of the total response time of one request class or workspace. */
 public record NamedPercentiles(String name, Percentiles total) {}
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/report/Outcome.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/report/Outcome.java
@@ -4,36 +4,37 @@
 import java.util.Optional;
 
 /**
- * What came of one request.
+ * The outcome of one request, or of one attempt to send it.
  *
- * @param kind how it ended
- * @param reason the cause in a word or two; blank when answered
- * @param run the {@code run} member of a refusal, or {@code unsaid}
- * @param retryAfter when a refusal tells to come back
+ * @param kind the kind of outcome
+ * @param reason the cause in one or two words; blank if the request was answered
+ * @param run the {@code run} member of the problem document of a refusal, which says whether the
+ *     request ran; {@code unsaid} if the refusal has none
+ * @param retryAfter the delay after which a refusal allows a retry; empty if it names none
  */
 public record Outcome(Kind kind, String reason, String run, Optional<Duration> retryAfter) {
 
-  /** The value of {@link #run} when nobody said whether the request ran. */
+  /** The value of {@link #run} if it is unknown whether the request ran. */
   public static final String UNSAID = "unsaid";
 
-  /** The value of {@link #run} of a request that no endpoint has seen. */
+  /** The value of {@link #run} of a request that reached no endpoint. */
   public static final String NOT_RUN = "not-run";
 
-  /** How a request ended. */
+  /** The kind of outcome of a request. */
   public enum Kind {
-    /** With the whole and right answer. */
+    /** The caller received the complete and correct answer. */
     ANSWERED,
-    /** With a refusal. */
+    /** The entry instance refused the request. */
     REFUSED,
-    /** Without an answer. */
+    /** The caller received no answer. */
     FAILED,
-    /** With an answer that began and did not end, as the caller can tell. */
+    /** The answer began but didn't end, and the caller can detect this. */
     CUT,
-    /** With an answer that looks whole and is wrong. */
+    /** The answer looks complete but is wrong. */
     WRONG
   }
 
-  /** Returns the outcome of a request that was answered. */
+  /** Returns the outcome of a request with a complete and correct answer. */
   public static Outcome answered() {
     return new Outcome(Kind.ANSWERED, "", UNSAID, Optional.empty());
   }
@@ -43,12 +44,12 @@
     return new Outcome(Kind.FAILED, reason, UNSAID, Optional.empty());
   }
 
-  /** Returns the outcome of a request that no entry took, as none could be connected to. */
+  /** Returns the outcome of a request for which no entry instance accepted a connection. */
   public static Outcome unreachable() {
     return new Outcome(Kind.FAILED, "unreachable", NOT_RUN, Optional.empty());
   }
 
-  /** Returns the outcome of a request whose answer did not end. */
+  /** Returns the outcome of a request whose answer began but didn't end. */
   public static Outcome cut(String reason) {
     return new Outcome(Kind.CUT, reason, UNSAID, Optional.empty());
   }
@@ -63,7 +64,7 @@
     return new Outcome(Kind.REFUSED, reason, run, retryAfter);
   }
 
-  /** Returns whether sending again can help. */
+  /** Returns whether a retry can succeed: after a failure, a cut answer or a retry delay. */
   public boolean resendable() {
     return kind == Kind.FAILED || kind == Kind.CUT || retryAfter.isPresent();
   }
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/report/ReportWriter.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/report/ReportWriter.java
@@ -2,11 +2,11 @@
 
 import java.nio.file.Path;
 
-/** Writes a result into a directory. */
+/** Writes the result of a run to files in a directory. */
 public interface ReportWriter {
 
   /**
-   * Writes files for people or programs.
+   * Writes the files of this report.
    *
    * @throws java.io.UncheckedIOException if the directory cannot be written to
    */
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/report/RunResult.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/report/RunResult.java
@@ -4,22 +4,24 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * All that a run measured.
+ * All measurements of a run.
  *
- * @param name the scenario
- * @param seed its seed
- * @param startedAt when it started
- * @param seconds how long it took
- * @param flows the flows of requests
- * @param classes total times by class
- * @param workspaces total times by workspace
- * @param jobs the batch jobs
- * @param batchItemsPerSecond items of all jobs a second, from the first acceptance to the last end
- * @param calls keyed calls compared with the services
- * @param endpointsLost endpoints that answered no more at the end
- * @param timeline what ended in each second
- * @param broken promises that did not hold
- * @param withoutJobs the same online load without the jobs, if it was run
+ * @param name the name of the scenario
+ * @param seed the seed of the scenario
+ * @param startedAt the start time of the run
+ * @param seconds the duration of the run
+ * @param flows the results of the request flows
+ * @param classes the total response times by request class
+ * @param workspaces the total response times by workspace
+ * @param jobs the results of the batch jobs
+ * @param batchItemsPerSecond the items of all jobs per second, from the first acceptance of a job
+ *     to the last end of a job
+ * @param calls the comparison of calls with idempotency keys with the run counts of the services
+ * @param endpointsLost the addresses of the endpoints that did not answer at the end of the run
+ * @param timeline the answered requests and ended batch items in each second
+ * @param broken the descriptions of the failed checks
+ * @param withoutJobs the result of the same online load without the jobs; null if the scenario
+ *     doesn't ask for this comparison
  */
 public record RunResult(
     String name,
@@ -37,13 +39,13 @@
     List<String> broken,
     @Nullable RunResult withoutJobs) {
 
-  /** Returns whether all promises held, in the run without jobs too. */
+  /** Returns whether all checks passed, including those of the run without jobs if there is one. */
   public boolean ok() {
     return broken.isEmpty() && (withoutJobs == null || withoutJobs.ok());
   }
 
-  /** Returns this result beside the one of the run without jobs. */
-  public RunResult beside(RunResult baseline) {
+  /** Returns this result with the given result of the run without jobs added. */
+  public RunResult withBaseline(RunResult baseline) {
     return new RunResult(
         name,
         seed,
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/report/Series.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/report/Series.java
@@ -2,5 +2,5 @@
 
 import java.util.List;
 
-/** What ended in each second of a run. */
+/** The number of answered requests or ended batch items of one series in each second of a run. */
 public record Series(String name, List<Long> perSecond) {}
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/report/package-info.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/report/package-info.java
@@ -1,4 +1,4 @@
-/** What a run measured, as data and as pages. */
+/** Results of a load test run, as records and as report files. */
 @NullMarked
 package io.hawthornlb.standin.report;
 
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/report/support/Counts.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/report/support/Counts.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.ConcurrentSkipListMap;
 import java.util.concurrent.atomic.LongAdder;
 
-/** Counts by name; safe for use by many threads. */
+/** Counters by name. Safe for use by multiple threads. */
 final class Counts {
 
   private final Map<String, LongAdder> counts = new ConcurrentSkipListMap<>();
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/report/support/FlowRecorder.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/report/support/FlowRecorder.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.atomic.LongAdder;
 import org.HdrHistogram.SynchronizedHistogram;
 
-/** Measures one flow; safe for use by many threads. */
+/** Records the measurements of one flow. Safe for use by multiple threads. */
 final class FlowRecorder {
 
   private final FlowLabel label;
@@ -47,7 +47,7 @@
     switch (outcome.kind()) {
       case ANSWERED -> {
         answered.increment();
-        time(latency);
+        recordLatency(latency);
       }
       case REFUSED -> {
         refused.add(outcome.reason());
@@ -78,12 +78,12 @@
         Histograms.percentiles(total));
   }
 
-  private void time(Latency latency) {
+  private void recordLatency(Latency latency) {
     Histograms.record(total, latency.total());
-    long before = 0;
+    long previous = 0;
     for (long token : latency.tokens()) {
-      Histograms.record(before == 0 ? firstToken : tokenGap, token - before);
-      before = token;
+      Histograms.record(previous == 0 ? firstToken : tokenGap, token - previous);
+      previous = token;
     }
   }
 }
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/report/support/Histograms.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/report/support/Histograms.java
@@ -5,11 +5,11 @@
 import org.HdrHistogram.AbstractHistogram;
 import org.HdrHistogram.SynchronizedHistogram;
 
-/** Latency histograms from a microsecond to ten minutes, with three digits. */
+/** Latency histograms from one microsecond to ten minutes, with three significant digits. */
 public final class Histograms {
 
-  private static final long HIGHEST_MICROS = TimeUnit.MINUTES.toMicros(10);
-  private static final int DIGITS = 3;
+  private static final long MAX_MICROS = TimeUnit.MINUTES.toMicros(10);
+  private static final int SIGNIFICANT_DIGITS = 3;
   private static final double MICROS_PER_MILLI = 1_000;
   private static final double P50 = 50;
   private static final double P95 = 95;
@@ -18,16 +18,17 @@
 
   private Histograms() {}
 
-  /** Returns an empty histogram that can be read while others record. */
+  /** Returns an empty histogram that can be read while other threads record values. */
   public static SynchronizedHistogram create() {
-    // Reading percentiles of a histogram with free writers ends in a failure as soon as one writes.
-    return new SynchronizedHistogram(1, HIGHEST_MICROS, DIGITS);
+    // Reading the percentiles of an unsynchronized histogram throws an exception as soon as another
+    // thread records a value.
+    return new SynchronizedHistogram(1, MAX_MICROS, SIGNIFICANT_DIGITS);
   }
 
-  /** Records a time; one beyond the range counts as the highest. */
+  /** Records a time. A time above the range of the histogram counts as the maximum of the range. */
   public static void record(AbstractHistogram histogram, long nanos) {
     long micros = Math.max(0, TimeUnit.NANOSECONDS.toMicros(nanos));
-    histogram.recordValue(Math.min(micros, HIGHEST_MICROS));
+    histogram.recordValue(Math.min(micros, MAX_MICROS));
   }
 
   /** Returns the percentiles in milliseconds. */
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/report/support/HtmlPage.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/report/support/HtmlPage.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Builds a page of headings, tables and pictures; all texts are escaped. */
+/** Builds an HTML page of headings, tables and images. All texts are escaped. */
 final class HtmlPage {
 
   private static final String HEAD =
@@ -45,7 +45,7 @@
     html.append("</table>\n");
   }
 
-  void picture(String name, String base64) {
+  void image(String name, String base64) {
     html.append("<p><img alt=\"")
         .append(escape(name))
         .append("\" src=\"data:image/png;base64,")
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/report/support/HtmlReport.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/report/support/HtmlReport.java
@@ -17,13 +17,13 @@
 import java.util.Locale;
 import java.util.stream.Collectors;
 
-/** Writes {@code report.html}, one file that needs no other. */
+/** Writes the result as {@code report.html}, a self-contained file with embedded plots. */
 public final class HtmlReport implements ReportWriter {
 
-  /** The name of the file. */
+  /** The name of the report file. */
   public static final String FILE = "report.html";
 
-  private static final List<String> TIMES =
+  private static final List<String> TIME_COLUMNS =
       List.of("count", "mean", "p50", "p95", "p99", "p99.9", "max");
 
   @Override
@@ -48,7 +48,7 @@
     page.heading(result.ok() ? "All promises held" : "Promises broken");
     page.items(result.broken());
     for (Plots.Plot plot : Plots.of(result)) {
-      page.picture(plot.file(), Base64.getEncoder().encodeToString(plot.png()));
+      page.image(plot.file(), Base64.getEncoder().encodeToString(plot.png()));
     }
     sections(page, result, "");
     if (result.withoutJobs() != null) {
@@ -77,7 +77,7 @@
         result.flows().stream().map(HtmlReport::requests).toList());
     page.heading("Times in ms" + suffix);
     List<String> header = new ArrayList<>(List.of("of", "time"));
-    header.addAll(TIMES);
+    header.addAll(TIME_COLUMNS);
     page.table(header, times(result));
     if (!result.jobs().isEmpty()) {
       page.heading("Jobs" + suffix);
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/report/support/JsonReport.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/report/support/JsonReport.java
@@ -7,10 +7,10 @@
 import java.io.UncheckedIOException;
 import java.nio.file.Path;
 
-/** Writes {@code result.json}. */
+/** Writes the result as {@code result.json}. */
 public final class JsonReport implements ReportWriter {
 
-  /** The name of the file. */
+  /** The name of the report file. */
   public static final String FILE = "result.json";
 
   @Override
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/report/support/PlotReport.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/report/support/PlotReport.java
@@ -7,7 +7,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** Writes the pictures as PNG files. */
+/** Writes the plots as PNG files. */
 public final class PlotReport implements ReportWriter {
 
   @Override
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/report/support/Plots.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/report/support/Plots.java
@@ -20,28 +20,35 @@
 import org.knowm.xchart.internal.chartpart.Chart;
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
-/** Draws the pictures of a report. */
+/** Draws the plots of a report. */
 final class Plots {
 
   private static final Logger LOG = System.getLogger(Plots.class.getName());
   private static final int WIDTH = 900;
   private static final int HEIGHT = 420;
-  private static final double LEAST_MILLIS = 0.01;
-  private static final List<String> RANKS = List.of("p50", "p95", "p99", "p99.9", "max");
+  private static final double MIN_PLOTTED_MILLIS = 0.01;
+  private static final List<String> PERCENTILE_LABELS =
+      List.of("p50", "p95", "p99", "p99.9", "max");
 
   private Plots() {}
 
-  /** A picture with its file name. */
+  /** A plot as a PNG image, with its file name. */
   record Plot(String file, byte[] png) {}
 
-  /** Draws all pictures for which there are measurements; none where the machine has no fonts. */
+  /**
+   * Draws all plots for which there are measurements.
+   *
+   * @return the plots; none if the machine has no fonts
+   */
   static List<Plot> of(RunResult result) {
     System.setProperty("java.awt.headless", "true");
     try {
       return draw(result);
     } catch (InternalError | LinkageError e) {
-      // A Java without fonts fails so; the numbers of the run must not be lost over its pictures.
-      LOG.log(Level.WARNING, "report: no plots, as this machine has no fonts: {0}", e);
+      // Java throws these errors on a machine without fonts. The measurements of the run must not
+      // be
+      // lost because the plots can't be drawn.
+      LOG.log(Level.WARNING, "report: no plots because this machine has no fonts: {0}", e);
       return List.of();
     }
   }
@@ -67,37 +74,37 @@
             .yAxisTitle("ms")
             .build();
     chart.getStyler().setYAxisLogarithmic(true);
-    // Without a lower end the axis of a bar chart begins at 0, which a logarithmic one cannot.
-    chart.getStyler().setYAxisMin(lowerEnd(result));
+    // The axis of a bar chart starts at 0 by default, which a logarithmic axis can't show.
+    chart.getStyler().setYAxisMin(axisMinimum(result));
     addGroups(chart, result.classes(), "");
-    RunResult alone = result.withoutJobs();
-    if (alone != null) {
-      addGroups(chart, alone.classes(), " without jobs");
+    RunResult baseline = result.withoutJobs();
+    if (baseline != null) {
+      addGroups(chart, baseline.classes(), " without jobs");
     }
     return chart;
   }
 
-  private static double lowerEnd(RunResult result) {
-    double least =
+  private static double axisMinimum(RunResult result) {
+    double smallest =
         result.classes().stream()
             .filter(group -> group.total().count() > 0)
             .mapToDouble(group -> group.total().p50())
             .min()
             .orElse(1);
-    return Math.pow(10, Math.floor(Math.log10(Math.max(LEAST_MILLIS, least))) - 1);
+    return Math.pow(10, Math.floor(Math.log10(Math.max(MIN_PLOTTED_MILLIS, smallest))) - 1);
   }
 
   private static void addGroups(CategoryChart chart, List<NamedPercentiles> groups, String suffix) {
     for (NamedPercentiles group : groups) {
       if (group.total().count() > 0) {
-        chart.addSeries(group.name() + suffix, RANKS, values(group.total()));
+        chart.addSeries(group.name() + suffix, PERCENTILE_LABELS, values(group.total()));
       }
     }
   }
 
   private static List<Double> values(Percentiles p) {
     return Stream.of(p.p50(), p.p95(), p.p99(), p.p999(), p.max())
-        .map(value -> Math.max(LEAST_MILLIS, value))
+        .map(value -> Math.max(MIN_PLOTTED_MILLIS, value))
         .toList();
   }
 
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/report/support/RunRecorder.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/report/support/RunRecorder.java
@@ -17,26 +17,26 @@
 import java.util.function.Function;
 import org.HdrHistogram.SynchronizedHistogram;
 
-/** Measures a run; safe for use by many threads. */
+/** Records the measurements of a run. Safe for use by multiple threads. */
 public final class RunRecorder {
 
   private final Map<String, FlowRecorder> flows = new ConcurrentSkipListMap<>();
   private final Map<String, Map<Long, LongAdder>> seconds = new ConcurrentSkipListMap<>();
 
-  /** Counts a request that arrives. */
+  /** Counts the arrival of a request. */
   public void sent(FlowLabel label) {
     flow(label).sent();
   }
 
-  /** Counts a sending beyond the first, by what became of the one before. */
+  /** Counts a retry of a request by the reason of the preceding attempt's outcome. */
   public void resent(FlowLabel label, Outcome cause) {
     flow(label).resent(cause);
   }
 
   /**
-   * Takes the end of a request.
+   * Records the outcome of a request.
    *
-   * @param atNanos when it ended, from the start of the run
+   * @param atNanos the time at which the request ended, from the start of the run
    */
   public void ended(FlowLabel label, Outcome outcome, Latency latency, long atNanos) {
     flow(label).ended(outcome, latency);
@@ -45,7 +45,7 @@
     }
   }
 
-  /** Adds to what was done of a series in this second of the run. */
+  /** Adds a number of requests or items to the second of a series that contains the given time. */
   public void progress(String series, long count, long atNanos) {
     seconds
         .computeIfAbsent(series, unused -> new ConcurrentHashMap<>())
@@ -53,22 +53,22 @@
         .add(count);
   }
 
-  /** Returns what came of each flow so far. */
+  /** Returns the results of each flow so far. */
   public List<FlowResult> flows() {
     return flows.values().stream().map(FlowRecorder::result).toList();
   }
 
-  /** Returns the total times by class. */
+  /** Returns the total response times by request class. */
   public List<NamedPercentiles> classes() {
     return grouped(FlowLabel::requestClass);
   }
 
-  /** Returns the total times by workspace. */
+  /** Returns the total response times by workspace. */
   public List<NamedPercentiles> workspaces() {
     return grouped(FlowLabel::workspace);
   }
 
-  /** Returns what ended in each second. */
+  /** Returns the answered requests and ended items of each series in each second. */
   public List<Series> timeline() {
     long last =
         seconds.values().stream()
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/report/support/package-info.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/report/support/package-info.java
@@ -1,4 +1,4 @@
-/** Recording of measurements, JSON, plots and HTML. */
+/** Recorders of measurements and writers of the JSON, PNG and HTML reports. */
 @NullMarked
 package io.hawthornlb.standin.report.support;
 
--- a/hawthornlb-standin/src/test/java/io/hawthornlb/standin/report/support/RunRecorderTest.java
+++ b/hawthornlb-standin/src/test/java/io/hawthornlb/standin/report/support/RunRecorderTest.java
@@ -21,7 +21,7 @@
   private static final FlowLabel LABEL = new FlowLabel("f", "interactive", "w");
 
   @Property(tries = 200, seed = "4711")
-  void percentilesAreThoseOfTheSortedTimes(
+  void percentilesMatchThoseOfTheSortedTimes(
       @ForAll @Size(min = 1, max = 300) List<@IntRange(min = 1, max = 100_000) Integer> micros) {
     RunRecorder recorder = new RunRecorder();
     micros.forEach(
@@ -47,7 +47,7 @@
   }
 
   @Test
-  void tokensAreTimedFromTheIntendedStartAndFromEachOther() {
+  void firstTokenCountsFromTheIntendedStartAndGapsFromThePreviousToken() {
     RunRecorder recorder = new RunRecorder();
     List<Long> tokens =
         Arrays.asList(5L, 7L, 10L).stream().map(TimeUnit.MILLISECONDS::toNanos).toList();
@@ -61,11 +61,12 @@
   }
 
   /**
-   * A run at a high rate ended after some seconds with a failure of the tool: the progress line
-   * read the percentiles of a histogram while answers came in.
+   * Guards against a failure of the load tool during a run at a high rate. The progress line reads
+   * the percentiles of a histogram while other threads record answers, and an unsynchronized
+   * histogram throws an exception then.
    */
   @Test
-  void resultsCanBeReadWhileAnswersComeIn() throws InterruptedException {
+  void resultsCanBeReadWhileAnswersAreRecorded() throws InterruptedException {
     RunRecorder recorder = new RunRecorder();
     Thread writer =
         new Thread(
@@ -84,17 +85,17 @@
   }
 
   @Test
-  void eachEndCountsOnceUnderItsKind() {
+  void eachOutcomeCountsOnceUnderItsKind() {
     RunRecorder recorder = new RunRecorder();
-    List<Outcome> ends =
+    List<Outcome> outcomes =
         List.of(
             Outcome.refused("limit-exceeded", "not-run", Optional.empty()),
             Outcome.failed("timeout"),
             Outcome.cut("ends-early"),
             Outcome.wrong("foreign"));
     recorder.sent(LABEL);
-    ends.forEach(end -> recorder.sent(LABEL));
-    ends.forEach(end -> recorder.ended(LABEL, end, Latency.whole(1), 0));
+    outcomes.forEach(outcome -> recorder.sent(LABEL));
+    outcomes.forEach(outcome -> recorder.ended(LABEL, outcome, Latency.whole(1), 0));
 
     var flow = recorder.flows().get(0);
     assertEquals("limit-exceeded", flow.refused().get(0).name());
