--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/Burst.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/Burst.java
@@ -5,28 +5,28 @@
 import io.hawthornlb.standin.support.SettingsChecks;
 
 /**
- * Requests that arrive evenly within a short time.
+ * Requests that arrive at even intervals within a short time.
  *
- * @param atMillis when it begins
- * @param overMillis how long it lasts; 0 is all at once
- * @param count the requests in it
+ * @param atMillis the start of the burst, in milliseconds from the start of the run
+ * @param overMillis the duration of the burst; if 0, all requests arrive at once
+ * @param count the number of requests
  */
 @JsonDeserialize(builder = Burst.Builder.class)
 public record Burst(long atMillis, long overMillis, int count) {
 
-  /** Checks the values. */
+  /** Validates the components. */
   public Burst {
     SettingsChecks.notNegative(atMillis, "atMillis");
     SettingsChecks.notNegative(overMillis, "overMillis");
     SettingsChecks.positive(count, "count");
   }
 
-  /** Returns a builder with the defaults. */
+  /** Returns a builder that holds the default values. */
   public static Builder builder() {
     return new Builder();
   }
 
-  /** Collects the values. */
+  /** Builder for {@link Burst}. */
   @JsonPOJOBuilder(withPrefix = "")
   public static final class Builder {
 
@@ -36,25 +36,25 @@
 
     private Builder() {}
 
-    /** Sets when it begins; 0 by default. */
+    /** Sets the start of the burst; 0 by default. */
     public Builder atMillis(long value) {
       atMillis = value;
       return this;
     }
 
-    /** Sets how long it lasts; 0 by default. */
+    /** Sets the duration of the burst; 0 by default. */
     public Builder overMillis(long value) {
       overMillis = value;
       return this;
     }
 
-    /** Sets the requests in it; 0 by default. */
+    /** Sets the number of requests; required. */
     public Builder count(int value) {
       count = value;
       return this;
     }
 
-    /** Returns the checked values. */
+    /** Returns a validated burst. */
     public Burst build() {
       return new Burst(atMillis, overMillis, count);
     }
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/CallFlow.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/CallFlow.java
@@ -6,22 +6,24 @@
 import java.util.List;
 
 /**
- * Calls to a plain service that arrive whatever becomes of those before.
+ * A flow of calls to a plain HTTP service that arrive at fixed times, whether or not earlier calls
+ * have been answered (open loop).
  *
- * @param name the name; it labels the results
- * @param requestClass the class; it labels the results
- * @param workspace the workspace; it labels the results
- * @param key the bearer key; blank sends none
- * @param service the service that is asked
- * @param path the path at the service
- * @param keyed whether each call has an idempotency key, which its resends repeat
- * @param bodyBytes the size of a body
- * @param phases the times with a rate of arrivals
- * @param bursts the bursts of arrivals
- * @param resends how often a request that got no answer is sent again, to the next entry
- * @param resendMillis the wait before a resend without a time to come back
- * @param timeoutMillis when the caller gives up on one sending
- * @param limits the limits that must hold
+ * @param name the name of the flow, which labels its results
+ * @param requestClass the request class, which labels the results
+ * @param workspace the workspace, which labels the results
+ * @param key the bearer token; if blank, requests carry no authorization
+ * @param service the name of the service that receives the requests
+ * @param path the request path at the service
+ * @param keyed whether each call has an idempotency key, which its retries repeat
+ * @param bodyBytes the size of a request body in bytes
+ * @param phases the time spans in which requests arrive at random, each with its rate
+ * @param bursts the bursts of requests
+ * @param resends the maximum number of retries of a request that got no answer; each retry goes to
+ *     the next entry instance
+ * @param resendMillis the delay before a retry if the outcome names no retry delay
+ * @param timeoutMillis the timeout of one attempt
+ * @param limits the limits that the results must not exceed
  */
 @JsonDeserialize(builder = CallFlow.Builder.class)
 public record CallFlow(
@@ -40,7 +42,7 @@
     long timeoutMillis,
     Limits limits) {
 
-  /** Checks the values. */
+  /** Validates the components. */
   public CallFlow {
     SettingsChecks.hasText(name, "name");
     SettingsChecks.hasText(requestClass, "requestClass");
@@ -55,12 +57,12 @@
     SettingsChecks.positive(timeoutMillis, "timeoutMillis");
   }
 
-  /** Returns a builder with the defaults. */
+  /** Returns a builder that holds the default values. */
   public static Builder builder() {
     return new Builder();
   }
 
-  /** Collects the values. */
+  /** Builder for {@link CallFlow}. */
   @JsonPOJOBuilder(withPrefix = "")
   public static final class Builder {
 
@@ -81,91 +83,91 @@
 
     private Builder() {}
 
-    /** Sets the name; blank by default. */
+    /** Sets the name of the flow; required. */
     public Builder name(String value) {
       name = value;
       return this;
     }
 
-    /** Sets the class; "interactive" by default. */
+    /** Sets the request class; "interactive" by default. */
     public Builder requestClass(String value) {
       requestClass = value;
       return this;
     }
 
-    /** Sets the workspace; blank by default. */
+    /** Sets the workspace; required. */
     public Builder workspace(String value) {
       workspace = value;
       return this;
     }
 
-    /** Sets the bearer key; blank by default. */
+    /** Sets the bearer token; blank by default. */
     public Builder key(String value) {
       key = value;
       return this;
     }
 
-    /** Sets the service that is asked; blank by default. */
+    /** Sets the name of the service that receives the requests; required. */
     public Builder service(String value) {
       service = value;
       return this;
     }
 
-    /** Sets the path at the service; "/call" by default. */
+    /** Sets the request path at the service; "/call" by default. */
     public Builder path(String value) {
       path = value;
       return this;
     }
 
-    /** Sets whether each call has an idempotency key; yes by default. */
+    /** Sets whether each call has an idempotency key; true by default. */
     public Builder keyed(boolean value) {
       keyed = value;
       return this;
     }
 
-    /** Sets the size of a body; 100 by default. */
+    /** Sets the size of a request body in bytes; 100 by default. */
     public Builder bodyBytes(int value) {
       bodyBytes = value;
       return this;
     }
 
-    /** Sets the times with a rate of arrivals; none by default. */
+    /** Sets the time spans in which requests arrive at random; none by default. */
     public Builder phases(List<Phase> value) {
       phases = value;
       return this;
     }
 
-    /** Sets the bursts of arrivals; none by default. */
+    /** Sets the bursts of requests; none by default. */
     public Builder bursts(List<Burst> value) {
       bursts = value;
       return this;
     }
 
-    /** Sets how often a request that got no answer is sent again; 0 by default. */
+    /** Sets the maximum number of retries of a request that got no answer; 0 by default. */
     public Builder resends(int value) {
       resends = value;
       return this;
     }
 
-    /** Sets the wait before a resend without a time to come back; 200 by default. */
+    /** Sets the delay before a retry if the outcome names no retry delay; 200 by default. */
     public Builder resendMillis(long value) {
       resendMillis = value;
       return this;
     }
 
-    /** Sets when the caller gives up on one sending; 30,000 by default. */
+    /** Sets the timeout of one attempt; 30,000 by default. */
     public Builder timeoutMillis(long value) {
       timeoutMillis = value;
       return this;
     }
 
-    /** Sets the limits that must hold; no limits by default. */
+    /** Sets the limits of the results; by default only cut answers are limited, to 0. */
     public Builder limits(Limits value) {
       limits = value;
       return this;
     }
 
-    /** Returns the checked values. */
+    /** Returns a validated flow. */
     public CallFlow build() {
       return new CallFlow(
           name,
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/ChatFlow.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/ChatFlow.java
@@ -6,21 +6,23 @@
 import java.util.List;
 
 /**
- * Chat completions that arrive whatever becomes of those before.
+ * A flow of chat completion requests that arrive at fixed times, whether or not earlier requests
+ * have been answered (open loop).
  *
- * @param name the name; it labels the results
- * @param requestClass the class; it labels the results
- * @param workspace the workspace; it labels the results
- * @param key the bearer key; blank sends none
- * @param service the service that is asked
- * @param stream whether answers come token by token
- * @param shape the shape of the chats
- * @param phases the times with a rate of arrivals
- * @param bursts the bursts of arrivals
- * @param resends how often a request that got no answer is sent again, to the next entry
- * @param resendMillis the wait before a resend without a time to come back
- * @param timeoutMillis when the caller gives up on one sending
- * @param limits the limits that must hold
+ * @param name the name of the flow, which labels its results
+ * @param requestClass the request class, which labels the results
+ * @param workspace the workspace, which labels the results
+ * @param key the bearer token; if blank, requests carry no authorization
+ * @param service the name of the service that receives the requests
+ * @param stream whether answers are streamed token by token
+ * @param shape the sizes of the chats
+ * @param phases the time spans in which requests arrive at random, each with its rate
+ * @param bursts the bursts of requests
+ * @param resends the maximum number of retries of a request that got no answer; each retry goes to
+ *     the next entry instance
+ * @param resendMillis the delay before a retry if the outcome names no retry delay
+ * @param timeoutMillis the timeout of one attempt
+ * @param limits the limits that the results must not exceed
  */
 @JsonDeserialize(builder = ChatFlow.Builder.class)
 public record ChatFlow(
@@ -38,7 +40,7 @@
     long timeoutMillis,
     Limits limits) {
 
-  /** Checks the values. */
+  /** Validates the components. */
   public ChatFlow {
     SettingsChecks.hasText(name, "name");
     SettingsChecks.hasText(requestClass, "requestClass");
@@ -51,12 +53,12 @@
     SettingsChecks.positive(timeoutMillis, "timeoutMillis");
   }
 
-  /** Returns a builder with the defaults. */
+  /** Returns a builder that holds the default values. */
   public static Builder builder() {
     return new Builder();
   }
 
-  /** Collects the values. */
+  /** Builder for {@link ChatFlow}. */
   @JsonPOJOBuilder(withPrefix = "")
   public static final class Builder {
 
@@ -76,85 +78,85 @@
 
     private Builder() {}
 
-    /** Sets the name; blank by default. */
+    /** Sets the name of the flow; required. */
     public Builder name(String value) {
       name = value;
       return this;
     }
 
-    /** Sets the class; "interactive" by default. */
+    /** Sets the request class; "interactive" by default. */
     public Builder requestClass(String value) {
       requestClass = value;
       return this;
     }
 
-    /** Sets the workspace; blank by default. */
+    /** Sets the workspace; required. */
     public Builder workspace(String value) {
       workspace = value;
       return this;
     }
 
-    /** Sets the bearer key; blank by default. */
+    /** Sets the bearer token; blank by default. */
     public Builder key(String value) {
       key = value;
       return this;
     }
 
-    /** Sets the service that is asked; blank by default. */
+    /** Sets the name of the service that receives the requests; required. */
     public Builder service(String value) {
       service = value;
       return this;
     }
 
-    /** Sets whether answers come token by token; yes by default. */
+    /** Sets whether answers are streamed token by token; true by default. */
     public Builder stream(boolean value) {
       stream = value;
       return this;
     }
 
-    /** Sets the shape of the chats; no limits by default. */
+    /** Sets the sizes of the chats; the defaults of {@link ChatShape} by default. */
     public Builder shape(ChatShape value) {
       shape = value;
       return this;
     }
 
-    /** Sets the times with a rate of arrivals; none by default. */
+    /** Sets the time spans in which requests arrive at random; none by default. */
     public Builder phases(List<Phase> value) {
       phases = value;
       return this;
     }
 
-    /** Sets the bursts of arrivals; none by default. */
+    /** Sets the bursts of requests; none by default. */
     public Builder bursts(List<Burst> value) {
       bursts = value;
       return this;
     }
 
-    /** Sets how often a request that got no answer is sent again; 0 by default. */
+    /** Sets the maximum number of retries of a request that got no answer; 0 by default. */
     public Builder resends(int value) {
       resends = value;
       return this;
     }
 
-    /** Sets the wait before a resend without a time to come back; 200 by default. */
+    /** Sets the delay before a retry if the outcome names no retry delay; 200 by default. */
     public Builder resendMillis(long value) {
       resendMillis = value;
       return this;
     }
 
-    /** Sets when the caller gives up on one sending; 30,000 by default. */
+    /** Sets the timeout of one attempt; 30,000 by default. */
     public Builder timeoutMillis(long value) {
       timeoutMillis = value;
       return this;
     }
 
-    /** Sets the limits that must hold; no limits by default. */
+    /** Sets the limits of the results; by default only cut answers are limited, to 0. */
     public Builder limits(Limits value) {
       limits = value;
       return this;
     }
 
-    /** Returns the checked values. */
+    /** Returns a validated flow. */
     public ChatFlow build() {
       return new ChatFlow(
           name,
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/ChatShape.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/ChatShape.java
@@ -5,15 +5,15 @@
 import io.hawthornlb.standin.support.SettingsChecks;
 
 /**
- * What the chats of a flow look like.
+ * The sizes and the variety of the chats of a flow.
  *
- * @param prefixTokens the tokens of the first message, which requests share
- * @param prefixes how many first messages there are
- * @param promptTokensMin the fewest tokens of the second message
- * @param promptTokensMax the most tokens of the second message
- * @param answerTokensMin the fewest tokens of the answer
- * @param answerTokensMax the most tokens of the answer
- * @param marker a text that stands in each request, for faults to match
+ * @param prefixTokens the length in tokens of the first message, which many requests have in common
+ * @param prefixes the number of different first messages
+ * @param promptTokensMin the minimum number of tokens of the second message
+ * @param promptTokensMax the maximum number of tokens of the second message
+ * @param answerTokensMin the minimum number of tokens of the answer
+ * @param answerTokensMax the maximum number of tokens of the answer
+ * @param marker a text in each request that the conditions of injected faults can match
  */
 @JsonDeserialize(builder = ChatShape.Builder.class)
 public record ChatShape(
@@ -25,7 +25,7 @@
     int answerTokensMax,
     String marker) {
 
-  /** Checks the values. */
+  /** Validates the components. */
   public ChatShape {
     SettingsChecks.notNegative(prefixTokens, "prefixTokens");
     SettingsChecks.positive(prefixes, "prefixes");
@@ -37,12 +37,12 @@
         answerTokensMax >= answerTokensMin, "answerTokensMax must not be below answerTokensMin");
   }
 
-  /** Returns a builder with the defaults. */
+  /** Returns a builder that holds the default values. */
   public static Builder builder() {
     return new Builder();
   }
 
-  /** Collects the values. */
+  /** Builder for {@link ChatShape}. */
   @JsonPOJOBuilder(withPrefix = "")
   public static final class Builder {
 
@@ -56,49 +56,49 @@
 
     private Builder() {}
 
-    /** Sets the tokens of the first message; 200 by default. */
+    /** Sets the length in tokens of the first message; 200 by default. */
     public Builder prefixTokens(int value) {
       prefixTokens = value;
       return this;
     }
 
-    /** Sets how many first messages there are; 4 by default. */
+    /** Sets the number of different first messages; 4 by default. */
     public Builder prefixes(int value) {
       prefixes = value;
       return this;
     }
 
-    /** Sets the fewest tokens of the second message; 50 by default. */
+    /** Sets the minimum number of tokens of the second message; 50 by default. */
     public Builder promptTokensMin(int value) {
       promptTokensMin = value;
       return this;
     }
 
-    /** Sets the most tokens of the second message; 200 by default. */
+    /** Sets the maximum number of tokens of the second message; 200 by default. */
     public Builder promptTokensMax(int value) {
       promptTokensMax = value;
       return this;
     }
 
-    /** Sets the fewest tokens of the answer; 20 by default. */
+    /** Sets the minimum number of tokens of the answer; 20 by default. */
     public Builder answerTokensMin(int value) {
       answerTokensMin = value;
       return this;
     }
 
-    /** Sets the most tokens of the answer; 80 by default. */
+    /** Sets the maximum number of tokens of the answer; 80 by default. */
     public Builder answerTokensMax(int value) {
       answerTokensMax = value;
       return this;
     }
 
-    /** Sets a text that stands in each request; blank by default. */
+    /** Sets a text that each request contains; blank by default. */
     public Builder marker(String value) {
       marker = value;
       return this;
     }
 
-    /** Returns the checked values. */
+    /** Returns a validated shape. */
     public ChatShape build() {
       return new ChatShape(
           prefixTokens,
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/InvalidScenarioException.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/InvalidScenarioException.java
@@ -1,9 +1,12 @@
 package io.hawthornlb.standin.load;
 
-/** A scenario asks for what the load tool does not do; the message says what to change. */
+/**
+ * Thrown if a scenario exceeds what the load tool permits, such as an address outside this machine
+ * or too many requests.
+ */
 public final class InvalidScenarioException extends RuntimeException {
 
-  /** Says what to change. */
+  /** Creates an exception with a message that says what to change in the scenario. */
   public InvalidScenarioException(String message) {
     super(message);
   }
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/JobFlow.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/JobFlow.java
@@ -5,23 +5,25 @@
 import io.hawthornlb.standin.support.SettingsChecks;
 
 /**
- * Batch jobs of chat completions.
+ * A flow of batch jobs whose items are chat completions.
  *
- * @param name the name; it labels the results
- * @param requestClass the class; it labels the results
- * @param workspace the workspace; it labels the results
- * @param key the bearer key; blank sends none
- * @param service the service that is asked
- * @param shape the shape of the chats
- * @param jobs how many jobs there are
- * @param atMillis when the first is submitted
- * @param everyMillis the time between two submissions
- * @param items the items in each
- * @param impossibleItems how many of them ask for a context that no engine has
- * @param submissions how often each is sent with the same key; the id must be the same
- * @param dueMillis when a job is due after its submission; 0 sends no due time
- * @param cancelAfterMillis when a job is cancelled after its submission; 0 is never
- * @param pollMillis the time between two looks at a job
+ * @param name the name of the flow, which labels its results
+ * @param requestClass the request class, which labels the results
+ * @param workspace the workspace, which labels the results
+ * @param key the bearer token; if blank, requests carry no authorization
+ * @param service the name of the service that receives the requests
+ * @param shape the sizes of the chats
+ * @param jobs the number of jobs
+ * @param atMillis the time from the start of the run at which the first job is submitted
+ * @param everyMillis the interval between the submissions of successive jobs
+ * @param items the number of items in each job
+ * @param impossibleItems the number of these items that need a longer context than any engine has
+ * @param submissions the number of times that each job is submitted with the same idempotency key;
+ *     each submission must return the same id
+ * @param dueMillis the due time of a job, counted from its submission; 0 sends no due time
+ * @param cancelAfterMillis the time from the intended submission of a job to its cancellation; 0
+ *     never cancels a job
+ * @param pollMillis the interval between two status requests for a job
  */
 @JsonDeserialize(builder = JobFlow.Builder.class)
 public record JobFlow(
@@ -41,7 +43,7 @@
     long cancelAfterMillis,
     long pollMillis) {
 
-  /** Checks the values. */
+  /** Validates the components. */
   public JobFlow {
     SettingsChecks.hasText(name, "name");
     SettingsChecks.hasText(requestClass, "requestClass");
@@ -58,12 +60,12 @@
     SettingsChecks.positive(pollMillis, "pollMillis");
   }
 
-  /** Returns a builder with the defaults. */
+  /** Returns a builder that holds the default values. */
   public static Builder builder() {
     return new Builder();
   }
 
-  /** Collects the values. */
+  /** Builder for {@link JobFlow}. */
   @JsonPOJOBuilder(withPrefix = "")
   public static final class Builder {
 
@@ -85,97 +87,97 @@
 
     private Builder() {}
 
-    /** Sets the name; blank by default. */
+    /** Sets the name of the flow; required. */
     public Builder name(String value) {
       name = value;
       return this;
     }
 
-    /** Sets the class; "batch" by default. */
+    /** Sets the request class; "batch" by default. */
     public Builder requestClass(String value) {
       requestClass = value;
       return this;
     }
 
-    /** Sets the workspace; blank by default. */
+    /** Sets the workspace; required. */
     public Builder workspace(String value) {
       workspace = value;
       return this;
     }
 
-    /** Sets the bearer key; blank by default. */
+    /** Sets the bearer token; blank by default. */
     public Builder key(String value) {
       key = value;
       return this;
     }
 
-    /** Sets the service that is asked; blank by default. */
+    /** Sets the name of the service that receives the requests; required. */
     public Builder service(String value) {
       service = value;
       return this;
     }
 
-    /** Sets the shape of the chats; no limits by default. */
+    /** Sets the sizes of the chats; the defaults of {@link ChatShape} by default. */
     public Builder shape(ChatShape value) {
       shape = value;
       return this;
     }
 
-    /** Sets how many jobs there are; 1 by default. */
+    /** Sets the number of jobs; 1 by default. */
     public Builder jobs(int value) {
       jobs = value;
       return this;
     }
 
-    /** Sets when the first is submitted; 0 by default. */
+    /** Sets the time at which the first job is submitted; 0 by default. */
     public Builder atMillis(long value) {
       atMillis = value;
       return this;
     }
 
-    /** Sets the time between two submissions; 0 by default. */
+    /** Sets the interval between the submissions of successive jobs; 0 by default. */
     public Builder everyMillis(long value) {
       everyMillis = value;
       return this;
     }
 
-    /** Sets the items in each; 100 by default. */
+    /** Sets the number of items in each job; 100 by default. */
     public Builder items(int value) {
       items = value;
       return this;
     }
 
-    /** Sets how many of them ask for a context that no engine has; 0 by default. */
+    /** Sets the number of items that need a longer context than any engine has; 0 by default. */
     public Builder impossibleItems(int value) {
       impossibleItems = value;
       return this;
     }
 
-    /** Sets how often each is sent with the same key; 1 by default. */
+    /** Sets the number of submissions of each job with the same idempotency key; 1 by default. */
     public Builder submissions(int value) {
       submissions = value;
       return this;
     }
 
-    /** Sets when a job is due after its submission; 0 by default. */
+    /** Sets the due time of a job, counted from its submission; 0, which sends none, by default. */
     public Builder dueMillis(long value) {
       dueMillis = value;
       return this;
     }
 
-    /** Sets when a job is cancelled after its submission; 0 by default. */
+    /** Sets the time from the intended submission to the cancellation; 0, never, by default. */
     public Builder cancelAfterMillis(long value) {
       cancelAfterMillis = value;
       return this;
     }
 
-    /** Sets the time between two looks at a job; 500 by default. */
+    /** Sets the interval between two status requests for a job; 500 by default. */
     public Builder pollMillis(long value) {
       pollMillis = value;
       return this;
     }
 
-    /** Returns the checked values. */
+    /** Returns a validated flow. */
     public JobFlow build() {
       return new JobFlow(
           name,
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/Limits.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/Limits.java
@@ -5,14 +5,14 @@
 import io.hawthornlb.standin.support.SettingsChecks;
 
 /**
- * What a flow may not exceed if the promises are to hold; 0 or below sets no limit.
+ * Limits that the results of a flow must not exceed. A latency limit of 0 or below is not checked.
  *
- * @param firstTokenP95Millis the 95th percentile of the time to the first token
- * @param p95Millis the 95th percentile of the time to the whole answer
- * @param p99Millis the 99th percentile of the time to the whole answer
- * @param refusedPercent the requests in a hundred that are refused in the end
- * @param failedPercent the requests in a hundred that end without answer or refusal
- * @param cut the answers that begin and do not end
+ * @param firstTokenP95Millis the limit of the 95th percentile of the time to the first token
+ * @param p95Millis the limit of the 95th percentile of the time to the complete answer
+ * @param p99Millis the limit of the 99th percentile of the time to the complete answer
+ * @param refusedPercent the maximum percentage of requests whose last attempt is refused
+ * @param failedPercent the maximum percentage of requests that end without an answer or refusal
+ * @param cut the maximum number of answers that begin but don't end
  */
 @JsonDeserialize(builder = Limits.Builder.class)
 public record Limits(
@@ -23,19 +23,19 @@
     double failedPercent,
     long cut) {
 
-  /** Checks the values. */
+  /** Validates the components. */
   public Limits {
     SettingsChecks.notNegative(refusedPercent, "refusedPercent");
     SettingsChecks.notNegative(failedPercent, "failedPercent");
     SettingsChecks.notNegative(cut, "cut");
   }
 
-  /** Returns a builder with the defaults. */
+  /** Returns a builder that holds the default values. */
   public static Builder builder() {
     return new Builder();
   }
 
-  /** Collects the values. */
+  /** Builder for {@link Limits}. */
   @JsonPOJOBuilder(withPrefix = "")
   public static final class Builder {
 
@@ -48,43 +48,43 @@
 
     private Builder() {}
 
-    /** Sets the 95th percentile of the time to the first token; 0 by default. */
+    /** Sets the limit of the 95th percentile of the time to the first token; 0 by default. */
     public Builder firstTokenP95Millis(double value) {
       firstTokenP95Millis = value;
       return this;
     }
 
-    /** Sets the 95th percentile of the time to the whole answer; 0 by default. */
+    /** Sets the limit of the 95th percentile of the time to the complete answer; 0 by default. */
     public Builder p95Millis(double value) {
       p95Millis = value;
       return this;
     }
 
-    /** Sets the 99th percentile of the time to the whole answer; 0 by default. */
+    /** Sets the limit of the 99th percentile of the time to the complete answer; 0 by default. */
     public Builder p99Millis(double value) {
       p99Millis = value;
       return this;
     }
 
-    /** Sets the requests in a hundred that are refused in the end; 100 by default. */
+    /** Sets the maximum percentage of refused requests; 100 by default. */
     public Builder refusedPercent(double value) {
       refusedPercent = value;
       return this;
     }
 
-    /** Sets the requests in a hundred that end without answer or refusal; 100 by default. */
+    /** Sets the maximum percentage of requests without an answer or refusal; 100 by default. */
     public Builder failedPercent(double value) {
       failedPercent = value;
       return this;
     }
 
-    /** Sets the answers that begin and do not end; 0 by default. */
+    /** Sets the maximum number of answers that begin but don't end; 0 by default. */
     public Builder cut(long value) {
       cut = value;
       return this;
     }
 
-    /** Returns the checked values. */
+    /** Returns a validated set of limits. */
     public Limits build() {
       return new Limits(
           firstTokenP95Millis, p95Millis, p99Millis, refusedPercent, failedPercent, cut);
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/LoadTool.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/LoadTool.java
@@ -15,7 +15,7 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** Sends a mixed load to entries, checks every answer and says whether the promises held. */
+/** Sends a mixed load to entry instances, checks every answer and reports failed checks. */
 public final class LoadTool {
 
   private static final List<ReportWriter> WRITERS =
@@ -24,13 +24,14 @@
   private LoadTool() {}
 
   /**
-   * Runs a scenario and writes its report, with progress on standard error.
+   * Runs a scenario and writes its report. Progress goes to standard error.
    *
    * @param scenario the YAML file
-   * @param outDir where the report goes; made when missing
-   * @return what was measured; {@link RunResult#ok} says whether all promises held
-   * @throws io.hawthornlb.standin.support.InvalidSettingsException if the file holds a fault
-   * @throws InvalidScenarioException if it asks for other than loopback addresses or too much
+   * @param outDir the directory of the report, which is created if missing
+   * @return the measurements; {@link RunResult#ok} returns whether all checks passed
+   * @throws io.hawthornlb.standin.support.InvalidSettingsException if the file isn't valid
+   * @throws InvalidScenarioException if the scenario contains an address that isn't a loopback
+   *     address, or too many requests or items
    */
   public static RunResult run(Path scenario, Path outDir) {
     return run(SettingsReader.read(scenario, Scenario.class), outDir, System.err);
@@ -39,23 +40,25 @@
   /**
    * Runs a scenario and writes its report.
    *
-   * @param progress gets a line a second
-   * @throws InvalidScenarioException if it asks for other than loopback addresses or too much
+   * @param progress receives one progress line per second
+   * @throws InvalidScenarioException if the scenario contains an address that isn't a loopback
+   *     address, or too many requests or items
    */
   public static RunResult run(Scenario scenario, Path outDir, PrintStream progress) {
     RunResult result = measure(scenario, progress);
     createDirectory(outDir);
     WRITERS.forEach(writer -> writer.write(result, outDir));
-    result.broken().forEach(promise -> progress.println("load: broken: " + promise));
-    progress.println("load: " + (result.ok() ? "ok" : "promises broken") + ", see " + outDir);
+    result.broken().forEach(check -> progress.println("load: check failed: " + check));
+    progress.println("load: " + (result.ok() ? "ok" : "checks failed") + ", see " + outDir);
     return result;
   }
 
   /**
-   * Runs a scenario without a report.
+   * Runs a scenario and writes no report.
    *
-   * @param progress gets a line a second
-   * @throws InvalidScenarioException if it asks for other than loopback addresses or too much
+   * @param progress receives one progress line per second
+   * @throws InvalidScenarioException if the scenario contains an address that isn't a loopback
+   *     address, or too many requests or items
    */
   public static RunResult measure(Scenario scenario, PrintStream progress) {
     LoopbackAddresses.check(scenario);
@@ -63,10 +66,10 @@
     if (!scenario.compareWithoutJobs()) {
       return new LoadRun(scenario, progress).run();
     }
-    progress.println("load: online load without jobs");
-    RunResult alone = new LoadRun(scenario.withoutJobs(), progress).run();
-    progress.println("load: the same with jobs");
-    return new LoadRun(scenario, progress).run().withBaseline(alone);
+    progress.println("load: running the online load without jobs");
+    RunResult baseline = new LoadRun(scenario.withoutJobs(), progress).run();
+    progress.println("load: running the online load with jobs");
+    return new LoadRun(scenario, progress).run().withBaseline(baseline);
   }
 
   private static void checkItems(Scenario scenario) {
@@ -81,7 +84,7 @@
     try {
       Files.createDirectories(directory);
     } catch (IOException e) {
-      throw new UncheckedIOException("cannot make " + directory, e);
+      throw new UncheckedIOException("cannot create directory " + directory, e);
     }
   }
 }
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/Scenario.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/Scenario.java
@@ -6,23 +6,25 @@
 import java.util.List;
 
 /**
- * What a run of the load tool does.
+ * A scenario of the load tool: the load, the faults and the checked instances of a run.
  *
- * @param name the name; it heads the report
- * @param seed what draws arrivals and contents
- * @param durationMillis how long requests arrive
- * @param drainMillis how long answers and jobs are awaited after that
- * @param maxRequests the most requests and items that a run may have
- * @param threads the threads that read answers
- * @param entries the addresses of the entries
- * @param services the addresses of plain service stand-ins, whose calls are compared
- * @param endpoints the addresses of endpoints that are looked at in the end
- * @param endpointsLost how many of them may be gone then
- * @param compareWithoutJobs whether the same online load runs first without the jobs
- * @param chats the chats
- * @param calls the calls to plain services
- * @param jobs the batch jobs
- * @param actions the faults
+ * @param name the name of the scenario, which is the title of the report
+ * @param seed the seed of the random arrival times and contents
+ * @param durationMillis the time span in which requests arrive
+ * @param drainMillis the maximum wait for outstanding answers and jobs after that time span
+ * @param maxRequests the maximum number of requests, and also of job items, in a run
+ * @param threads the number of threads that read answers
+ * @param entries the addresses of the entry instances
+ * @param services the addresses of the plain service stand-ins whose run counts are compared with
+ *     the answers
+ * @param endpoints the addresses of the endpoints that are checked at the end of the run
+ * @param endpointsLost the maximum number of these endpoints that may not answer
+ * @param compareWithoutJobs whether the same online load is first run without the jobs, for
+ *     comparison
+ * @param chats the flows of chat completions
+ * @param calls the flows of calls to plain services
+ * @param jobs the flows of batch jobs
+ * @param actions the actions that switch faults on and off
  */
 @JsonDeserialize(builder = Scenario.Builder.class)
 public record Scenario(
@@ -44,7 +46,7 @@
 
   private static final long MAX_DURATION_MILLIS = 600_000;
 
-  /** Checks the values. */
+  /** Validates the components. */
   public Scenario {
     SettingsChecks.hasText(name, "name");
     SettingsChecks.isTrue(
@@ -66,7 +68,7 @@
     actions = List.copyOf(actions);
   }
 
-  /** Returns the same online load without the jobs. */
+  /** Returns a scenario with the same online load and faults but without the jobs. */
   public Scenario withoutJobs() {
     return new Scenario(
         name + " without jobs",
@@ -86,12 +88,12 @@
         actions);
   }
 
-  /** Returns a builder with the defaults. */
+  /** Returns a builder that holds the default values. */
   public static Builder builder() {
     return new Builder();
   }
 
-  /** Collects the values. */
+  /** Builder for {@link Scenario}. */
   @JsonPOJOBuilder(withPrefix = "")
   public static final class Builder {
 
@@ -113,43 +115,43 @@
 
     private Builder() {}
 
-    /** Sets the name; blank by default. */
+    /** Sets the name of the scenario; required. */
     public Builder name(String value) {
       name = value;
       return this;
     }
 
-    /** Sets what draws arrivals and contents; 1 by default. */
+    /** Sets the seed of the random arrival times and contents; 1 by default. */
     public Builder seed(long value) {
       seed = value;
       return this;
     }
 
-    /** Sets how long requests arrive; 20,000 by default. */
+    /** Sets the time span in which requests arrive; 20,000 by default. */
     public Builder durationMillis(long value) {
       durationMillis = value;
       return this;
     }
 
-    /** Sets how long answers and jobs are awaited after that; 30,000 by default. */
+    /** Sets the maximum wait for outstanding answers and jobs; 30,000 by default. */
     public Builder drainMillis(long value) {
       drainMillis = value;
       return this;
     }
 
-    /** Sets the most requests and items that a run may have; 200,000 by default. */
+    /** Sets the maximum number of requests, and also of job items; 200,000 by default. */
     public Builder maxRequests(int value) {
       maxRequests = value;
       return this;
     }
 
-    /** Sets the threads that read answers; 4 by default. */
+    /** Sets the number of threads that read answers; 4 by default. */
     public Builder threads(int value) {
       threads = value;
       return this;
     }
 
-    /** Sets the addresses of the entries; none by default. */
+    /** Sets the addresses of the entry instances; at least one is required. */
     public Builder entries(List<String> value) {
       entries = value;
       return this;
@@ -161,49 +163,49 @@
       return this;
     }
 
-    /** Sets the addresses of endpoints that are looked at in the end; none by default. */
+    /** Sets the addresses of the endpoints that are checked at the end; none by default. */
     public Builder endpoints(List<String> value) {
       endpoints = value;
       return this;
     }
 
-    /** Sets how many endpoints may be gone in the end; 0 by default. */
+    /** Sets the maximum number of endpoints that may not answer at the end; 0 by default. */
     public Builder endpointsLost(int value) {
       endpointsLost = value;
       return this;
     }
 
-    /** Sets whether the same online load runs first without the jobs; no by default. */
+    /** Sets whether the same online load is first run without the jobs; false by default. */
     public Builder compareWithoutJobs(boolean value) {
       compareWithoutJobs = value;
       return this;
     }
 
-    /** Sets the chats; none by default. */
+    /** Sets the flows of chat completions; none by default. */
     public Builder chats(List<ChatFlow> value) {
       chats = value;
       return this;
     }
 
-    /** Sets the calls to plain services; none by default. */
+    /** Sets the flows of calls to plain services; none by default. */
     public Builder calls(List<CallFlow> value) {
       calls = value;
       return this;
     }
 
-    /** Sets the batch jobs; none by default. */
+    /** Sets the flows of batch jobs; none by default. */
     public Builder jobs(List<JobFlow> value) {
       jobs = value;
       return this;
     }
 
-    /** Sets the faults; none by default. */
+    /** Sets the actions that switch faults on and off; none by default. */
     public Builder actions(List<Action> value) {
       actions = value;
       return this;
     }
 
-    /** Returns the checked values. */
+    /** Returns a validated scenario. */
     public Scenario build() {
       return new Scenario(
           name,
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/package-info.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/package-info.java
@@ -1,4 +1,4 @@
-/** The load tool: scenarios, what came of them and whether promises held. */
+/** The load tool, which runs scenarios of online and batch load and checks their results. */
 @NullMarked
 package io.hawthornlb.standin.load;
 
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/support/AnswerChecks.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/support/AnswerChecks.java
@@ -7,14 +7,14 @@
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 
-/** Checks answers against their requests. */
+/** Checks whether answers match their requests. */
 public final class AnswerChecks {
 
-  private static final int HASH_PART = 18;
+  private static final int HASH_PREFIX_LENGTH = 18;
 
   private AnswerChecks() {}
 
-  /** Checks the body of a whole chat completion. */
+  /** Checks the body of a chat completion that isn't streamed. */
   public static Outcome completion(String body, String expected) {
     try {
       JsonNode answer = WireJson.mapper().readTree(body);
@@ -24,25 +24,25 @@
     }
   }
 
-  /** Returns the text of a whole chat completion; empty when there is none. */
+  /** Returns the text of a chat completion that isn't streamed; empty if there is none. */
   static String contentOf(JsonNode answer) {
     return answer.path("choices").path(0).path("message").path("content").asText("");
   }
 
   /**
-   * Checks the body of an echo.
+   * Checks the body of an echo answer.
    *
-   * @param path the end of the path that the service must have seen; what comes before it, as a
-   *     router may or may not pass it on, is free
+   * @param path the expected end of the path that the service received; any prefix before it is
+   *     accepted, because a router may or may not pass that prefix on
    */
   public static Outcome echo(String body, String method, String path, String sent) {
     try {
       JsonNode answer = WireJson.mapper().readTree(body);
-      String seen = answer.path("path").asText("");
-      boolean own = answer.path("body").asText("").equals(sent) && seen.endsWith(path);
-      String checksum = Echo.checksum(method, seen, sent.getBytes(StandardCharsets.UTF_8));
-      boolean whole = answer.path("checksum").asText("").equals(checksum);
-      return own && whole ? Outcome.answered() : Outcome.wrong(own ? "altered" : "foreign");
+      String receivedPath = answer.path("path").asText("");
+      boolean own = answer.path("body").asText("").equals(sent) && receivedPath.endsWith(path);
+      String checksum = Echo.checksum(method, receivedPath, sent.getBytes(StandardCharsets.UTF_8));
+      boolean intact = answer.path("checksum").asText("").equals(checksum);
+      return own && intact ? Outcome.answered() : Outcome.wrong(own ? "altered" : "foreign");
     } catch (IOException e) {
       return Outcome.wrong("is-no-json");
     }
@@ -52,12 +52,12 @@
     return expected.equals(text) ? Outcome.answered() : Outcome.wrong(difference(expected, text));
   }
 
-  /** Names the way in which a text differs from the one that was expected. */
+  /** Returns the kind of difference between an answer and the expected text. */
   static String difference(String expected, String text) {
     if (expected.startsWith(text)) {
       return "truncated";
     }
-    String start = expected.substring(0, Math.min(HASH_PART, expected.length()));
+    String start = expected.substring(0, Math.min(HASH_PREFIX_LENGTH, expected.length()));
     if (!text.startsWith(start)) {
       return "foreign";
     }
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/support/ArrivalTimes.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/support/ArrivalTimes.java
@@ -6,7 +6,7 @@
 import java.util.SplittableRandom;
 import java.util.stream.LongStream;
 
-/** Fixes beforehand when requests arrive, whatever becomes of those before. */
+/** Computes the arrival times of requests in advance, independently of answers (open loop). */
 public final class ArrivalTimes {
 
   private static final double NANOS_PER_SECOND = 1e9;
@@ -14,7 +14,7 @@
 
   private ArrivalTimes() {}
 
-  /** Returns the times of a flow from the start of the run, in nanoseconds and in order. */
+  /** Returns the sorted arrival times of a flow, in nanoseconds from the start of the run. */
   public static long[] of(
       List<Phase> phases, List<Burst> bursts, long durationMillis, SplittableRandom random) {
     LongStream.Builder times = LongStream.builder();
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/support/ChatBody.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/support/ChatBody.java
@@ -4,7 +4,7 @@
 import io.hawthornlb.standin.engine.ChatMessage;
 import java.util.List;
 
-/** The body of a chat completion as callers send it. */
+/** The request body of a chat completion. */
 record ChatBody(
     String model,
     List<ChatMessage> messages,
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/support/ChatContent.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/support/ChatContent.java
@@ -8,17 +8,17 @@
 import java.util.SplittableRandom;
 
 /**
- * One chat that is asked, and the answer that it must get.
+ * The content of one chat request and its expected answer.
  *
- * @param messages what is asked
- * @param answerTokens how many tokens the answer has
+ * @param messages the messages of the request
+ * @param answerTokens the number of tokens of the answer
  */
 public record ChatContent(List<ChatMessage> messages, int answerTokens) {
 
   private static final int CHARACTERS_PER_TOKEN = 4;
   private static final String FILLER = "the quick check of one bay and the next shift, ";
 
-  /** Draws a chat; the label makes it unlike all others. */
+  /** Generates a chat at random. The label makes the chat different from all others. */
   static ChatContent draw(ChatShape shape, String label, SplittableRandom random) {
     int prefix = random.nextInt(shape.prefixes());
     int prompt = between(shape.promptTokensMin(), shape.promptTokensMax(), random);
@@ -31,7 +31,7 @@
         answer);
   }
 
-  /** Returns the only right answer. */
+  /** Returns the only correct answer. */
   String expected() {
     return AnswerText.whole(Prompt.of(messages).hash(), answerTokens);
   }
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/support/ChatRequests.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/support/ChatRequests.java
@@ -17,7 +17,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Consumer;
 
-/** Sends the chats of a flow and checks their answers. */
+/** Sends the chat completion requests of a flow and checks their answers. */
 final class ChatRequests implements RequestFlow {
 
   private static final String PATH = "/v1/chat/completions";
@@ -53,7 +53,7 @@
   }
 
   @Override
-  public CompletableFuture<Ended> send(int number, long intendedNanos) {
+  public CompletableFuture<EndedRequest> send(int number, long intendedNanos) {
     SplittableRandom random = Seeds.random(seed, flow.name(), number);
     String label = flow.name() + "-" + number + "-" + seed;
     ChatContent content = ChatContent.draw(flow.shape(), label, random);
@@ -67,7 +67,8 @@
             })
         .thenApply(
             outcome ->
-                new Ended(outcome, new Latency(last[0].tokens(), clock.nanos() - intendedNanos)));
+                new EndedRequest(
+                    outcome, new Latency(last[0].tokens(), clock.nanos() - intendedNanos)));
   }
 
   private Call call(ChatContent content) {
@@ -84,11 +85,11 @@
   private CompletableFuture<Outcome> whole(Call call, ChatContent content) {
     return caller
         .send(call, BodyHandlers.ofString())
-        .thenApply(answer -> judge(answer, content))
+        .thenApply(answer -> checkWhole(answer, content))
         .exceptionally(Refusals::failure);
   }
 
-  private static Outcome judge(HttpResponse<String> answer, ChatContent content) {
+  private static Outcome checkWhole(HttpResponse<String> answer, ChatContent content) {
     if (Refusals.refused(answer.statusCode())) {
       return Refusals.read(answer.statusCode(), answer.headers(), answer.body());
     }
@@ -99,7 +100,7 @@
     StreamBody body = new StreamBody(clock, attempt.reader);
     return caller
         .send(call, info -> body.subscriber())
-        .thenApply(answer -> judgeStream(answer, content, attempt))
+        .thenApply(answer -> checkStream(answer, content, attempt))
         .exceptionally(
             failure -> {
               body.cancel();
@@ -109,7 +110,7 @@
             });
   }
 
-  private static Outcome judgeStream(
+  private static Outcome checkStream(
       HttpResponse<StreamBody> answer, ChatContent content, Attempt attempt) {
     if (Refusals.refused(answer.statusCode())) {
       return Refusals.read(answer.statusCode(), answer.headers(), answer.body().text());
@@ -117,7 +118,7 @@
     return attempt.reader.outcome(content.expected());
   }
 
-  /** One sending of a stream. */
+  /** One attempt to send a request, with the arrival times of its tokens. */
   private static final class Attempt {
 
     private final long intendedNanos;
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/support/EndpointCheck.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/support/EndpointCheck.java
@@ -8,14 +8,14 @@
 import java.time.Duration;
 import java.util.List;
 
-/** Looks which endpoints are left at the end of a run. */
+/** Checks which endpoints still answer at the end of a run. */
 final class EndpointCheck {
 
-  private static final Duration LIMIT = Duration.ofSeconds(2);
+  private static final Duration TIMEOUT = Duration.ofSeconds(2);
 
-  private final HttpClient client = HttpClient.newBuilder().connectTimeout(LIMIT).build();
+  private final HttpClient client = HttpClient.newBuilder().connectTimeout(TIMEOUT).build();
 
-  /** Returns the addresses that do not answer. */
+  /** Returns the addresses of the endpoints that don't answer a health check within 2 s. */
   List<String> lost(List<String> endpoints) {
     return endpoints.stream().filter(address -> !answers(address)).toList();
   }
@@ -23,7 +23,7 @@
   private boolean answers(String address) {
     URI uri = URI.create("http://" + address + "/health");
     try {
-      client.send(HttpRequest.newBuilder(uri).timeout(LIMIT).build(), BodyHandlers.discarding());
+      client.send(HttpRequest.newBuilder(uri).timeout(TIMEOUT).build(), BodyHandlers.discarding());
       return true;
     } catch (IOException e) {
       return false;
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/support/EntryBalancer.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/support/EntryBalancer.java
@@ -4,18 +4,18 @@
 import java.util.List;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Deals requests out to the entries in turn. */
+/** Distributes requests to the entry instances in round-robin order. */
 public final class EntryBalancer {
 
   private final List<String> entries;
   private final AtomicInteger next = new AtomicInteger();
 
-  /** Starts with the first entry. */
+  /** Creates a balancer that starts with the first entry instance. */
   public EntryBalancer(List<String> entries) {
     this.entries = List.copyOf(entries);
   }
 
-  /** Returns all entries in the order in which one request tries them. */
+  /** Returns all entry instances in the order in which the next request tries them. */
   public List<String> next() {
     int first = Math.floorMod(next.getAndIncrement(), entries.size());
     List<String> order = new ArrayList<>(entries.subList(first, entries.size()));
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/support/FaultActions.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/support/FaultActions.java
@@ -14,15 +14,15 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** Switches faults on and off at their times, on a thread of its own. */
+/** Switches faults of stand-ins on and off at the scheduled times. */
 final class FaultActions {
 
-  private static final Duration LIMIT = Duration.ofSeconds(2);
+  private static final Duration TIMEOUT = Duration.ofSeconds(2);
 
   private final List<Action> actions;
   private final RunClock clock;
   private final PrintStream progress;
-  private final HttpClient client = HttpClient.newBuilder().connectTimeout(LIMIT).build();
+  private final HttpClient client = HttpClient.newBuilder().connectTimeout(TIMEOUT).build();
 
   FaultActions(List<Action> actions, RunClock clock, PrintStream progress) {
     this.actions = actions.stream().sorted(Comparator.comparingLong(Action::atMillis)).toList();
@@ -30,32 +30,33 @@
     this.progress = progress;
   }
 
-  /** Runs to the last action. */
+  /** Executes all actions in the order of their times; stops early if the thread is interrupted. */
   void run() {
     for (Action action : actions) {
       clock.sleepUntil(TimeUnit.MILLISECONDS.toNanos(action.atMillis()));
       if (Thread.currentThread().isInterrupted()) {
         return;
       }
-      take(action);
+      execute(action);
     }
   }
 
-  private void take(Action action) {
+  private void execute(Action action) {
     URI uri = URI.create("http://" + action.address() + "/standin/faults");
     HttpRequest.Builder request =
-        HttpRequest.newBuilder(uri).timeout(LIMIT).header("Content-Type", "application/json");
+        HttpRequest.newBuilder(uri).timeout(TIMEOUT).header("Content-Type", "application/json");
     if (action.fault() == null) {
       request.DELETE();
     } else {
       request.POST(BodyPublishers.ofByteArray(WireJson.write(action.fault())));
     }
-    String what = action.fault() == null ? "no fault" : String.valueOf(action.fault().kind());
+    String description =
+        action.fault() == null ? "all faults off" : String.valueOf(action.fault().kind());
     try {
       int status = client.send(request.build(), BodyHandlers.discarding()).statusCode();
-      progress.println("load: " + what + " at " + action.address() + ", status " + status);
+      progress.println("load: " + description + " at " + action.address() + ", status " + status);
     } catch (IOException e) {
-      progress.println("load: " + what + " at " + action.address() + " failed: " + e);
+      progress.println("load: " + description + " at " + action.address() + " failed: " + e);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/support/Headers.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/support/Headers.java
@@ -3,12 +3,12 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Builds the headers that callers send. */
+/** Builds the HTTP headers of requests. */
 final class Headers {
 
   private Headers() {}
 
-  /** Returns names and values in turn; a blank key sends no authorization. */
+  /** Returns header names and values, alternating; without authorization if the key is blank. */
   static List<String> of(String key) {
     List<String> headers = new ArrayList<>(List.of("Content-Type", "application/json"));
     if (!key.isBlank()) {
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/support/HttpCaller.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/support/HttpCaller.java
@@ -18,45 +18,52 @@
 import java.util.concurrent.Executor;
 import java.util.concurrent.TimeUnit;
 
-/** Sends requests through the balancer, which passes over entries that refuse the connection. */
+/**
+ * Sends HTTP requests to the entry instances in turn.
+ *
+ * <p>If an entry instance can't be connected to, the request goes to the next entry instance, until
+ * each has been tried once.
+ */
 public final class HttpCaller {
 
-  private static final Duration CONNECT_LIMIT = Duration.ofSeconds(2);
+  private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
 
   private final HttpClient client;
   private final EntryBalancer balancer;
 
-  /** Reads answers on the threads of {@code executor}. */
+  /** Creates a caller that reads answers on the threads of {@code executor}. */
   public HttpCaller(EntryBalancer balancer, Executor executor) {
     this.balancer = balancer;
     this.client =
         HttpClient.newBuilder()
             .version(Version.HTTP_1_1)
-            .connectTimeout(CONNECT_LIMIT)
+            .connectTimeout(CONNECT_TIMEOUT)
             .executor(executor)
             .build();
   }
 
   /**
-   * A request to any entry.
+   * A request that any entry instance can handle.
    *
-   * @param headers names and values in turn
+   * @param headers header names and values, alternating
+   * @param limit the timeout, which includes reading the whole answer
    */
   public record Call(
       String method, String path, List<String> headers, BodyPublisher body, Duration limit) {
 
-    /** Returns the same call with a further header. */
+    /** Returns this call with an additional header. */
     public Call with(String name, String value) {
-      List<String> more = new ArrayList<>(headers);
-      more.add(name);
-      more.add(value);
-      return new Call(method, path, List.copyOf(more), body, limit);
+      List<String> extended = new ArrayList<>(headers);
+      extended.add(name);
+      extended.add(value);
+      return new Call(method, path, List.copyOf(extended), body, limit);
     }
   }
 
-  /** Sends a call to the next entry that can be connected to. */
+  /** Sends a call to the next entry instance that accepts a connection. */
   public <T> CompletableFuture<HttpResponse<T>> send(Call call, BodyHandler<T> reader) {
-    // The client's own limit ends with the head of an answer; a body may go silent after it.
+    // The timeout of the HTTP client ends when the response headers arrive. This timeout also
+    // covers a response body that stalls afterwards.
     return send(call, reader, balancer.next())
         .orTimeout(call.limit().toMillis(), TimeUnit.MILLISECONDS);
   }
@@ -67,15 +74,15 @@
         client.sendAsync(request(call, entries.get(0)), reader);
     return sent.handle(
             (response, failure) -> {
-              boolean next = failure != null && entries.size() > 1 && unreachable(failure);
+              boolean tryNext = failure != null && entries.size() > 1 && unreachable(failure);
               CompletionStage<HttpResponse<T>> result =
-                  next ? send(call, reader, entries.subList(1, entries.size())) : sent;
+                  tryNext ? send(call, reader, entries.subList(1, entries.size())) : sent;
               return result;
             })
         .thenCompose(result -> result);
   }
 
-  /** Returns whether a failure means that the entry has seen nothing of the request. */
+  /** Returns whether a failure implies that the entry instance received nothing of the request. */
   public static boolean unreachable(Throwable failure) {
     Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
     return cause instanceof ConnectException || cause instanceof HttpConnectTimeoutException;
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/support/JobCalls.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/support/JobCalls.java
@@ -13,18 +13,20 @@
 import java.util.Optional;
 import java.util.concurrent.CompletionException;
 
-/** The calls of the job protocol, answered or not. */
+/**
+ * Client of the HTTP interface for jobs. Results are empty if a request isn't answered as expected.
+ */
 final class JobCalls {
 
-  private static final Duration LIMIT = Duration.ofSeconds(10);
+  private static final Duration TIMEOUT = Duration.ofSeconds(10);
   private static final int OK = 200;
   private static final int ACCEPTED = 202;
-  private static final int PAGE = 1_000;
+  private static final int PAGE_SIZE = 1_000;
 
   private final HttpCaller caller;
   private final JobFlow flow;
 
-  /** The last status of a job. */
+  /** The status of a job and its numbers of ended items. */
   record Status(String status, int completed, int failed) {
 
     boolean ended() {
@@ -32,7 +34,7 @@
     }
   }
 
-  /** A page of results, and where to read on. */
+  /** A page of results and the cursor of the next page, if there is one. */
   record Page(String lines, Optional<String> next) {}
 
   JobCalls(HttpCaller caller, JobFlow flow) {
@@ -40,7 +42,7 @@
     this.flow = flow;
   }
 
-  /** Submits a job and returns its id once it is accepted. */
+  /** Submits a job and returns its id; empty if the job was not accepted. */
   Optional<String> submit(String key, String lines, Optional<Instant> due) {
     Call call = call("POST", "/v1/jobs", lines).with("Idempotency-Key", key);
     Call dated = due.map(at -> call.with("Due", at.toString())).orElse(call);
@@ -62,12 +64,12 @@
 
   Optional<Page> results(String id, Optional<String> cursor) {
     String from = cursor.map(at -> "&cursor=" + at).orElse("");
-    String path = "/v1/jobs/" + id + "/results?limit=" + PAGE + from;
+    String path = "/v1/jobs/" + id + "/results?limit=" + PAGE_SIZE + from;
     return answer(call("GET", path, ""), OK)
         .map(answer -> new Page(answer.body(), answer.headers().firstValue("Next-Cursor")));
   }
 
-  /** Cancels a job and returns whether an entry took it. */
+  /** Cancels a job and returns whether an entry instance accepted the cancellation. */
   boolean cancel(String id) {
     return send(call("POST", "/v1/jobs/" + id + "/cancel", ""))
         .filter(answer -> answer.statusCode() < Refusals.CLIENT_ERROR)
@@ -87,7 +89,7 @@
   }
 
   private Call call(String method, String path, String body) {
-    return new Call(method, path, Headers.of(flow.key()), BodyPublishers.ofString(body), LIMIT);
+    return new Call(method, path, Headers.of(flow.key()), BodyPublishers.ofString(body), TIMEOUT);
   }
 
   private static JsonNode json(HttpResponse<String> answer) {
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/support/JobContent.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/support/JobContent.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 
-/** The items of one job, and what each must come to. */
+/** The items of one job and the expected result of each. */
 final class JobContent {
 
   private static final int IMPOSSIBLE_TOKENS = 100_000_000;
@@ -19,7 +19,7 @@
   private record Item(
       @JsonProperty("custom_id") String customId, String method, String url, ChatBody body) {}
 
-  /** Draws the items; the first ones are those that can never be done. */
+  /** Generates the items at random. The items that can never complete come first. */
   JobContent(JobFlow flow, int job, long seed) {
     SplittableRandom random = Seeds.random(seed, flow.name(), job);
     for (int index = 0; index < flow.items(); index++) {
@@ -34,12 +34,12 @@
     }
   }
 
-  /** Returns the body of the submission. */
+  /** Returns the body of the submission, with one JSON item per line. */
   String lines() {
     return lines.toString();
   }
 
-  /** Returns the answer that an item must get by its id; blank for one that must fail. */
+  /** Returns the expected answers by item id; blank for an item that must fail. */
   Map<String, String> expected() {
     return expected;
   }
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/support/JobResults.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/support/JobResults.java
@@ -8,27 +8,30 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 
-/** Sums up what came of the jobs of a run. */
+/** Collects and aggregates the results of the jobs of a run. */
 final class JobResults {
 
   private static final double MILLIS_PER_SECOND = 1_000;
-  private static final long GRACE_SECONDS = 30;
+  private static final long TIMEOUT_SECONDS = 30;
 
   private JobResults() {}
 
-  /** Returns the result of a job, or one that names the failure of the tool. */
+  /** Returns the result of a job, or a result that names the failure of the load tool. */
   static JobResult await(Future<JobResult> job) {
     try {
-      return job.get(GRACE_SECONDS, TimeUnit.SECONDS);
+      return job.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
-      return broken("the tool was interrupted");
+      return toolFailure("the load tool was interrupted");
     } catch (ExecutionException | TimeoutException e) {
-      return broken("the tool failed: " + e);
+      return toolFailure("the load tool failed: " + e);
     }
   }
 
-  /** Returns the items a second of all jobs, from the first acceptance to the last end. */
+  /**
+   * Returns the ended items of all jobs per second, from the first acceptance to the last end of a
+   * job. Jobs that did not end are left out.
+   */
   static double itemsPerSecond(List<JobResult> jobs, List<JobFlow> flows) {
     long first = Long.MAX_VALUE;
     long last = 0;
@@ -48,7 +51,7 @@
     return last > first ? items * MILLIS_PER_SECOND / (last - first) : 0;
   }
 
-  private static JobResult broken(String fault) {
+  private static JobResult toolFailure(String fault) {
     return new JobResult("", "", "", 0, 0, 0, 0, 0, 0, 0, List.of(fault));
   }
 }
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/support/JobResultsCheck.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/support/JobResultsCheck.java
@@ -10,10 +10,10 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Checks the results of a job, line by line and then as a whole. */
+/** Checks each result line of a job, and then whether results are missing. */
 public final class JobResultsCheck {
 
-  private static final int MOST_FAULTS = 20;
+  private static final int MAX_FAULTS = 20;
 
   private final Map<String, String> expected;
   private final Set<String> seen = new HashSet<>();
@@ -21,21 +21,25 @@
   private int completed;
   private int failed;
 
-  /** Expects these answers by item; blank for an item that must fail. */
+  /** Creates a check for the expected answers by item id; blank for an item that must fail. */
   public JobResultsCheck(Map<String, String> expected) {
     this.expected = Map.copyOf(expected);
   }
 
-  /** Checks a line of the results. */
+  /** Checks one line of the results. */
   public void line(String line) {
     try {
       item(WireJson.mapper().readTree(line));
     } catch (IOException e) {
-      fault("a result line is no JSON");
+      fault("a result line isn't valid JSON");
     }
   }
 
-  /** Returns the faults of a job that ended, with the items that have no result. */
+  /**
+   * Returns the first 20 faults of a job that has ended.
+   *
+   * @param cancelled whether the job was cancelled; if not, items without a result are a fault
+   */
   public List<String> faults(boolean cancelled) {
     List<String> missing =
         expected.keySet().stream().filter(id -> !seen.contains(id)).sorted().toList();
@@ -45,12 +49,12 @@
     return List.copyOf(faults);
   }
 
-  /** Returns how many items completed. */
+  /** Returns the number of completed items. */
   public int completed() {
     return completed;
   }
 
-  /** Returns how many items failed. */
+  /** Returns the number of failed items. */
   public int failed() {
     return failed;
   }
@@ -75,7 +79,7 @@
 
   private void answer(String id, String wanted, JsonNode response) {
     if (wanted.isEmpty()) {
-      fault(id + " completed although it can never be done");
+      fault(id + " completed although it must fail");
       return;
     }
     JsonNode body = response.has("body") ? response.path("body") : response;
@@ -86,7 +90,7 @@
   }
 
   private void fault(String text) {
-    if (faults.size() < MOST_FAULTS) {
+    if (faults.size() < MAX_FAULTS) {
       faults.add(text);
     }
   }
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/support/JobRun.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/support/JobRun.java
@@ -12,7 +12,7 @@
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 
-/** Takes one job from its submission to the check of its results, on a thread of its own. */
+/** Submits one job, follows it to its end and checks its results, on a thread of its own. */
 final class JobRun {
 
   private static final long RETRY_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
@@ -50,7 +50,7 @@
     this.endNanos = endNanos;
   }
 
-  /** Runs to the end of the job or of the run. */
+  /** Submits the job and follows it until the job or the run ends. */
   JobResult run() {
     clock.sleepUntil(intendedNanos);
     Optional<Instant> due =
@@ -71,7 +71,7 @@
       return result(id.get(), status, accepted, 0);
     }
     checkCancelled(id.get(), status, done);
-    return checked(id.get(), status, accepted, done);
+    return checkResults(id.get(), status, accepted, done);
   }
 
   private Optional<String> submit(Optional<Instant> due) {
@@ -84,7 +84,7 @@
   }
 
   private void resubmit(String id, Optional<Instant> due) {
-    for (int again = 1; again < flow.submissions(); again++) {
+    for (int submission = 1; submission < flow.submissions(); submission++) {
       Optional<String> other = submit(due);
       if (other.isPresent() && !other.get().equals(id)) {
         faults.add("the same key got a second job " + other.get());
@@ -110,15 +110,20 @@
     return last;
   }
 
-  /** Looks again after a while, as a job that was cancelled must come to a stop. */
+  /**
+   * Checks that a cancelled job stops.
+   *
+   * <p>If the job was cancelled, its status is read again 2 s later, and no further items may have
+   * completed. It is a fault if a job ends in another state more than 2 s after its cancellation.
+   */
   private void checkCancelled(String id, Status status, long done) {
     if (cancelledNanos == 0) {
       return;
     }
-    boolean late = done - cancelledNanos > CANCEL_GRACE_NANOS;
+    boolean graceOver = done - cancelledNanos > CANCEL_GRACE_NANOS;
     if (!status.status().equals("cancelled")) {
-      if (late) {
-        faults.add("went on after its cancellation to its end");
+      if (graceOver) {
+        faults.add("ran to its end despite its cancellation");
       }
       return;
     }
@@ -137,16 +142,17 @@
     }
   }
 
-  private JobResult checked(String id, Status status, long accepted, long done) {
+  private JobResult checkResults(String id, Status status, long accepted, long done) {
     JobResultsCheck check = readResults(id);
-    // Another entry may learn of the end a moment later; its results must be whole soon.
+    // Another entry instance can learn of the end of the job a moment later. All results must be
+    // readable there within 3 s.
     while (ended(check) < ended(status) && clock.nanos() < done + RESULTS_GRACE_NANOS) {
       clock.sleepUntil(clock.nanos() + RETRY_NANOS);
       check = readResults(id);
     }
     faults.addAll(check.faults(status.status().equals("cancelled")));
     if (ended(check) < ended(status)) {
-      faults.add(ended(status) + " items ended and " + ended(check) + " results can be read");
+      faults.add(ended(status) + " items ended but only " + ended(check) + " results can be read");
     }
     return result(
         id, new Status(status.status(), check.completed(), check.failed()), accepted, done);
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/support/LoadRun.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/support/LoadRun.java
@@ -24,11 +24,11 @@
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 
-/** One run of a scenario, from its first arrival to its verdict. */
+/** One run of a scenario, from the first arrival to the checks of the results. */
 public final class LoadRun {
 
   private static final long PROGRESS_NANOS = TimeUnit.SECONDS.toNanos(1);
-  private static final long LOOK_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
+  private static final long POLL_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
   private static final double NANOS_PER_SECOND = 1e9;
 
   private final Scenario scenario;
@@ -36,29 +36,29 @@
   private final RunRecorder recorder = new RunRecorder();
   private final CallLedger ledger = new CallLedger();
   private final String runKey = UUID.randomUUID().toString();
-  private final ExecutorService readers;
+  private final ExecutorService answerReaders;
   private final ExecutorService workers = Executors.newCachedThreadPool();
 
-  /** Prepares a run that writes its progress line by line. */
+  /** Creates a run that writes progress lines to the given stream. */
   public LoadRun(Scenario scenario, PrintStream progress) {
     this.scenario = scenario;
     this.progress = progress;
-    this.readers = Executors.newFixedThreadPool(scenario.threads());
+    this.answerReaders = Executors.newFixedThreadPool(scenario.threads());
   }
 
   /** Runs the scenario and returns what it measured. */
   public RunResult run() {
     try {
-      return measured();
+      return measure();
     } finally {
       workers.shutdownNow();
-      readers.shutdownNow();
+      answerReaders.shutdownNow();
     }
   }
 
-  private RunResult measured() {
+  private RunResult measure() {
     Instant startedAt = Instant.now();
-    HttpCaller caller = new HttpCaller(new EntryBalancer(scenario.entries()), readers);
+    HttpCaller caller = new HttpCaller(new EntryBalancer(scenario.entries()), answerReaders);
     RunClock clock = new RunClock();
     Pacer pacer = new Pacer(flows(caller, clock), scenario, clock, recorder);
     long end = TimeUnit.MILLISECONDS.toNanos(scenario.durationMillis() + scenario.drainMillis());
@@ -99,15 +99,15 @@
 
   private void awaitEnd(
       RunClock clock, Pacer pacer, Future<?> sending, List<Future<JobResult>> jobs, long end) {
-    long nextLine = PROGRESS_NANOS;
+    long nextProgress = PROGRESS_NANOS;
     while (clock.nanos() < end) {
-      clock.sleepUntil(Math.min(end, clock.nanos() + LOOK_NANOS));
-      if (clock.nanos() >= nextLine) {
+      clock.sleepUntil(Math.min(end, clock.nanos() + POLL_NANOS));
+      if (clock.nanos() >= nextProgress) {
         printProgress(clock, pacer);
-        nextLine += PROGRESS_NANOS;
+        nextProgress += PROGRESS_NANOS;
       }
       boolean done = sending.isDone() && jobs.stream().allMatch(Future::isDone);
-      if (done && pacer.underWay() == 0) {
+      if (done && pacer.inFlight() == 0) {
         return;
       }
     }
@@ -127,13 +127,13 @@
       failed += FlowResult.sum(flow.wrong());
     }
     progress.printf(
-        "load: %3d s  sent %d  answered %d  refused %d  failed %d  under way %d%n",
+        "load: %3d s  sent %d  answered %d  refused %d  failed %d  in flight %d%n",
         TimeUnit.NANOSECONDS.toSeconds(clock.nanos()),
         sent,
         answered,
         refused,
         failed,
-        pacer.underWay());
+        pacer.inFlight());
   }
 
   private static List<JobResult> results(List<Future<JobResult>> jobs) {
@@ -149,7 +149,7 @@
     CallComparison calls = compareCalls();
     List<String> lost = new EndpointCheck().lost(scenario.endpoints());
     List<String> broken =
-        new Promises()
+        new ResultChecks()
             .flows(flows, limits())
             .jobs(jobs)
             .calls(calls)
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/support/LoopbackAddresses.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/support/LoopbackAddresses.java
@@ -7,7 +7,7 @@
 import java.util.regex.Pattern;
 import java.util.stream.Stream;
 
-/** Holds the load tool to this machine. */
+/** Restricts the load tool to addresses of this machine. */
 public final class LoopbackAddresses {
 
   private static final Pattern LOOPBACK =
@@ -18,10 +18,10 @@
   /**
    * Checks all addresses of a scenario.
    *
-   * @throws InvalidScenarioException if one is not a loopback address with a port
+   * @throws InvalidScenarioException if an address is not a loopback address with a port
    */
   public static void check(Scenario scenario) {
-    List<String> strange =
+    List<String> invalid =
         Stream.of(
                 scenario.entries().stream(),
                 scenario.services().stream(),
@@ -31,8 +31,8 @@
             .filter(address -> !LOOPBACK.matcher(address).matches())
             .distinct()
             .toList();
-    if (!strange.isEmpty()) {
-      throw new InvalidScenarioException("addresses must be loopback host:port, not " + strange);
+    if (!invalid.isEmpty()) {
+      throw new InvalidScenarioException("addresses must be loopback host:port, not " + invalid);
     }
   }
 }
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/support/Pacer.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/support/Pacer.java
@@ -2,7 +2,7 @@
 
 import io.hawthornlb.standin.load.InvalidScenarioException;
 import io.hawthornlb.standin.load.Scenario;
-import io.hawthornlb.standin.load.support.RequestFlow.Ended;
+import io.hawthornlb.standin.load.support.RequestFlow.EndedRequest;
 import io.hawthornlb.standin.report.Latency;
 import io.hawthornlb.standin.report.Outcome;
 import io.hawthornlb.standin.report.support.RunRecorder;
@@ -11,21 +11,21 @@
 import java.util.List;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Sends each request at the time that was fixed for it, whatever becomes of the others. */
+/** Sends each request at its scheduled time, whether or not earlier requests have been answered. */
 final class Pacer {
 
   private final RunClock clock;
   private final RunRecorder recorder;
   private final List<Arrival> arrivals;
-  private final AtomicLong underWay = new AtomicLong();
+  private final AtomicLong inFlight = new AtomicLong();
 
-  /** A request with the time at which it is meant to start. */
+  /** A request with its intended start time. */
   private record Arrival(RequestFlow flow, int number, long atNanos) {}
 
   /**
-   * Fixes all arrivals.
+   * Computes the arrival times of all requests of a scenario.
    *
-   * @throws InvalidScenarioException if there are more than the scenario allows
+   * @throws InvalidScenarioException if there are more requests than the scenario allows
    */
   Pacer(List<RequestFlow> flows, Scenario scenario, RunClock clock, RunRecorder recorder) {
     this.clock = clock;
@@ -37,7 +37,7 @@
     }
   }
 
-  /** Sends all requests and returns after the last one was sent. */
+  /** Sends all requests; returns once the last request has been sent. */
   void run() {
     for (Arrival arrival : arrivals) {
       clock.sleepUntil(arrival.atNanos());
@@ -45,23 +45,24 @@
     }
   }
 
-  /** Returns how many requests have no end yet. */
-  long underWay() {
-    return underWay.get();
+  /** Returns the number of requests that have been sent and have not ended. */
+  long inFlight() {
+    return inFlight.get();
   }
 
   private void send(Arrival arrival) {
-    underWay.incrementAndGet();
+    inFlight.incrementAndGet();
     recorder.sent(arrival.flow().label());
     arrival
         .flow()
         .send(arrival.number(), arrival.atNanos())
-        .exceptionally(failure -> new Ended(Outcome.failed("tool: " + failure), Latency.whole(0)))
+        .exceptionally(
+            failure -> new EndedRequest(Outcome.failed("tool: " + failure), Latency.whole(0)))
         .thenAccept(
             ended -> {
               recorder.ended(
                   arrival.flow().label(), ended.outcome(), ended.latency(), clock.nanos());
-              underWay.decrementAndGet();
+              inFlight.decrementAndGet();
             });
   }
 
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/support/Refusals.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/support/Refusals.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.CompletionException;
 import java.util.concurrent.TimeoutException;
 
-/** Reads outcomes from refusals and failures. */
+/** Converts refusals and connection failures to outcomes. */
 final class Refusals {
 
   static final int CLIENT_ERROR = 400;
@@ -22,7 +22,12 @@
     return status >= CLIENT_ERROR;
   }
 
-  /** Reads a problem document; an answer without one is told by its status. */
+  /**
+   * Converts a refusal to an outcome.
+   *
+   * <p>The reason is the last part of the problem document's type, or the HTTP status if there is
+   * no such type.
+   */
   static Outcome read(int status, HttpHeaders headers, String body) {
     JsonNode problem = parse(body);
     String type = problem.path("type").asText("");
@@ -32,14 +37,14 @@
     return Outcome.refused(reason, run, retryAfter(headers));
   }
 
-  /** Reads a failure of the connection. */
+  /** Converts a connection failure or a timeout to an outcome. */
   static Outcome failure(Throwable failure) {
     Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
     if (HttpCaller.unreachable(failure)) {
       return Outcome.unreachable();
     }
-    boolean late = cause instanceof HttpTimeoutException || cause instanceof TimeoutException;
-    return Outcome.failed(late ? "timeout" : "connection-lost");
+    boolean timedOut = cause instanceof HttpTimeoutException || cause instanceof TimeoutException;
+    return Outcome.failed(timedOut ? "timeout" : "connection-lost");
   }
 
   private static Optional<Duration> retryAfter(HttpHeaders headers) {
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/support/RequestFlow.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/support/RequestFlow.java
@@ -8,21 +8,26 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 
-/** A flow of requests, each of which can be sent at any time. */
+/** A flow of numbered requests, which are sent independently of each other. */
 interface RequestFlow {
 
-  /** Returns what labels its results. */
+  /** Returns the label of the results of this flow. */
   FlowLabel label();
 
-  /** Returns the times with a rate of arrivals. */
+  /** Returns the time spans in which requests arrive at random. */
   List<Phase> phases();
 
-  /** Returns the bursts of arrivals. */
+  /** Returns the bursts of requests. */
   List<Burst> bursts();
 
-  /** Sends the request of this number, which is meant to start at this time of the run. */
-  CompletableFuture<Ended> send(int number, long intendedNanos);
+  /**
+   * Sends a request, with retries if the flow has them.
+   *
+   * @param number the number of the request within the flow
+   * @param intendedNanos the intended start, from the start of the run
+   */
+  CompletableFuture<EndedRequest> send(int number, long intendedNanos);
 
-  /** How a request ended. */
-  record Ended(Outcome outcome, Latency latency) {}
+  /** The outcome and the latency of a request that has ended. */
+  record EndedRequest(Outcome outcome, Latency latency) {}
 }
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/support/Resender.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/support/Resender.java
@@ -8,7 +8,7 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 
-/** Sends a request again when that can help, as callers do. */
+/** Retries requests like a typical caller, if a retry can succeed. */
 final class Resender {
 
   private final int resends;
@@ -16,10 +16,11 @@
   private final Consumer<Outcome> onResend;
 
   /**
-   * Allows some resends.
+   * Creates a resender.
    *
-   * @param wait before a resend that is not told when to come back
-   * @param onResend learns why a request is sent again
+   * @param resends the maximum number of retries of a request
+   * @param wait the delay before a retry if the outcome names no retry delay
+   * @param onResend receives the outcome that causes a retry, before that retry
    */
   Resender(int resends, Duration wait, Consumer<Outcome> onResend) {
     this.resends = resends;
@@ -27,23 +28,24 @@
     this.onResend = onResend;
   }
 
-  /** Completes with the outcome of the last sending. */
-  CompletableFuture<Outcome> send(Supplier<CompletableFuture<Outcome>> sending) {
-    return send(sending, resends);
+  /** Sends a request and its retries; the future completes with the outcome of the last attempt. */
+  CompletableFuture<Outcome> send(Supplier<CompletableFuture<Outcome>> attempt) {
+    return send(attempt, resends);
   }
 
-  private CompletableFuture<Outcome> send(Supplier<CompletableFuture<Outcome>> sending, int left) {
-    return sending
+  private CompletableFuture<Outcome> send(
+      Supplier<CompletableFuture<Outcome>> attempt, int retriesLeft) {
+    return attempt
         .get()
         .thenCompose(
             outcome -> {
-              if (left == 0 || !outcome.resendable()) {
+              if (retriesLeft == 0 || !outcome.resendable()) {
                 return CompletableFuture.completedFuture(outcome);
               }
               return CompletableFuture.supplyAsync(
                       () -> {
                         onResend.accept(outcome);
-                        return send(sending, left - 1);
+                        return send(attempt, retriesLeft - 1);
                       },
                       after(outcome.retryAfter().orElse(wait)))
                   .thenCompose(next -> next);
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/support/RunClock.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/support/RunClock.java
@@ -2,22 +2,22 @@
 
 import java.util.concurrent.locks.LockSupport;
 
-/** Nanoseconds from the start of a run. */
+/** A monotonic clock that counts nanoseconds from the start of a run. */
 public final class RunClock {
 
   private final long start = System.nanoTime();
 
-  /** Returns the time from the start. */
+  /** Returns the time since the start of the run in nanoseconds. */
   public long nanos() {
     return System.nanoTime() - start;
   }
 
-  /** Waits for a time from the start; returns at once when it has passed. */
+  /** Waits until a time since the start; returns early if the thread is interrupted. */
   public void sleepUntil(long nanos) {
-    long left = nanos - nanos();
-    while (left > 0 && !Thread.currentThread().isInterrupted()) {
-      LockSupport.parkNanos(this, left);
-      left = nanos - nanos();
+    long remaining = nanos - nanos();
+    while (remaining > 0 && !Thread.currentThread().isInterrupted()) {
+      LockSupport.parkNanos(this, remaining);
+      remaining = nanos - nanos();
     }
   }
 }
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/support/Seeds.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/support/Seeds.java
@@ -2,7 +2,7 @@
 
 import java.util.SplittableRandom;
 
-/** Draws the same for the same request in each run. */
+/** Creates random generators that yield the same numbers for the same request in each run. */
 final class Seeds {
 
   private static final long MIX = 0x9E3779B97F4A7C15L;
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/support/ServiceCalls.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/support/ServiceCalls.java
@@ -27,7 +27,7 @@
   private final CallLedger ledger;
   private final Resender resender;
 
-  /** Prefixes idempotency keys with {@code runKey}, which no other run has. */
+  /** Creates a flow whose idempotency keys have {@code runKey}, unique to the run, as prefix. */
   ServiceCalls(
       CallFlow flow,
       String runKey,
@@ -59,33 +59,34 @@
   }
 
   @Override
-  public CompletableFuture<Ended> send(int number, long intendedNanos) {
+  public CompletableFuture<EndedRequest> send(int number, long intendedNanos) {
     String key = runKey + "-" + flow.name() + "-" + number;
     String body = body(key);
     Call call = call(key, body);
     if (flow.keyed()) {
-      ledger.sent(key);
+      ledger.recordSent(key);
     }
     return resender
         .send(() -> attempt(call, key, body))
-        .thenApply(outcome -> new Ended(outcome, Latency.whole(clock.nanos() - intendedNanos)));
+        .thenApply(
+            outcome -> new EndedRequest(outcome, Latency.whole(clock.nanos() - intendedNanos)));
   }
 
   private CompletableFuture<Outcome> attempt(Call call, String key, String body) {
     return caller
         .send(call, BodyHandlers.ofString())
-        .thenApply(answer -> judge(answer, body))
+        .thenApply(answer -> check(answer, body))
         .exceptionally(Refusals::failure)
         .thenApply(
             outcome -> {
               if (flow.keyed()) {
-                ledger.told(key, outcome);
+                ledger.recordOutcome(key, outcome);
               }
               return outcome;
             });
   }
 
-  private Outcome judge(HttpResponse<String> answer, String sent) {
+  private Outcome check(HttpResponse<String> answer, String sent) {
     if (Refusals.refused(answer.statusCode())) {
       return Refusals.read(answer.statusCode(), answer.headers(), answer.body());
     }
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/support/ServiceCounts.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/support/ServiceCounts.java
@@ -13,14 +13,14 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Asks plain service stand-ins how often each call ran. */
+/** Reads from the plain service stand-ins the number of runs of each call. */
 final class ServiceCounts {
 
-  private static final Duration LIMIT = Duration.ofSeconds(10);
+  private static final Duration TIMEOUT = Duration.ofSeconds(10);
 
-  private final HttpClient client = HttpClient.newBuilder().connectTimeout(LIMIT).build();
+  private final HttpClient client = HttpClient.newBuilder().connectTimeout(TIMEOUT).build();
 
-  /** Returns the counts by key over all services; empty when one does not tell. */
+  /** Returns the run counts of all services by key; empty if a service can't be read. */
   Optional<Map<String, Long>> read(List<String> services) {
     Map<String, Long> runs = new HashMap<>();
     try {
@@ -41,7 +41,7 @@
     try {
       String body =
           client
-              .send(HttpRequest.newBuilder(uri).timeout(LIMIT).build(), BodyHandlers.ofString())
+              .send(HttpRequest.newBuilder(uri).timeout(TIMEOUT).build(), BodyHandlers.ofString())
               .body();
       return WireJson.mapper().readTree(body).path("calls");
     } catch (InterruptedException e) {
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/support/StreamBody.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/support/StreamBody.java
@@ -6,10 +6,10 @@
 import java.util.concurrent.Flow;
 import org.jspecify.annotations.Nullable;
 
-/** The body of a stream, read line by line as it comes. */
+/** The body of a streamed answer, which is read line by line as it arrives. */
 final class StreamBody implements Flow.Subscriber<String> {
 
-  private static final int LONGEST_KEPT = 8_192;
+  private static final int MAX_KEPT_CHARACTERS = 8_192;
 
   private final RunClock clock;
   private final StreamReader reader;
@@ -21,28 +21,32 @@
     this.reader = reader;
   }
 
-  /** Returns what the HTTP client hands the body to. */
+  /** Returns the subscriber through which the HTTP client delivers the body. */
   BodySubscriber<StreamBody> subscriber() {
     return BodySubscribers.fromLineSubscriber(this, unused -> this, StandardCharsets.UTF_8, null);
   }
 
-  /** Stops reading, which closes the connection. */
+  /** Cancels the subscription, which closes the connection. */
   void cancel() {
-    Flow.Subscription reading = subscription;
-    if (reading != null) {
-      reading.cancel();
+    Flow.Subscription current = subscription;
+    if (current != null) {
+      current.cancel();
     }
   }
 
-  /** Returns the start of the body. */
+  /**
+   * Returns the start of the body.
+   *
+   * <p>No further line is kept once 8,192 characters have been reached.
+   */
   synchronized String text() {
     return text.toString();
   }
 
   @Override
-  public void onSubscribe(Flow.Subscription reading) {
-    subscription = reading;
-    reading.request(Long.MAX_VALUE);
+  public void onSubscribe(Flow.Subscription current) {
+    subscription = current;
+    current.request(Long.MAX_VALUE);
   }
 
   @Override
@@ -53,16 +57,16 @@
 
   @Override
   public void onError(Throwable failure) {
-    // The answer itself fails with the same cause.
+    // The future of the response completes exceptionally with the same cause.
   }
 
   @Override
   public void onComplete() {
-    // The answer itself completes.
+    // The future of the response completes.
   }
 
   private synchronized void keep(String line) {
-    if (text.length() < LONGEST_KEPT) {
+    if (text.length() < MAX_KEPT_CHARACTERS) {
       text.append(line).append('\n');
     }
   }
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/support/StreamReader.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/support/StreamReader.java
@@ -8,7 +8,10 @@
 import java.util.List;
 import org.jspecify.annotations.Nullable;
 
-/** Reads the lines of a stream and notes when its tokens came. Safe for use by many threads. */
+/**
+ * Parses the lines of a streamed answer and records the arrival times of its tokens. Safe for use
+ * by multiple threads.
+ */
 final class StreamReader {
 
   private static final String DATA = "data:";
@@ -20,7 +23,7 @@
   private @Nullable String fault;
   private boolean done;
 
-  /** Reads a line that came at this time. */
+  /** Parses a line that arrived at the given time. */
   synchronized void line(String line, long nanos) {
     if (!line.startsWith(DATA)) {
       return;
@@ -35,7 +38,7 @@
     }
   }
 
-  /** Judges the stream after its last line. */
+  /** Returns the outcome of the stream after its last line. */
   synchronized Outcome outcome(String expected) {
     if (fault != null) {
       return Outcome.wrong(fault);
@@ -48,7 +51,7 @@
     return AnswerChecks.compare(expected, text.toString());
   }
 
-  /** Returns when tokens came. */
+  /** Returns the arrival times of the tokens. */
   synchronized List<Long> tokenNanos() {
     return List.copyOf(tokenNanos);
   }
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/support/package-info.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/load/support/package-info.java
@@ -1,4 +1,4 @@
-/** Arrival times, callers and checks of the load tool. */
+/** Internals of the load tool: arrival times, HTTP calls and checks of results. */
 @NullMarked
 package io.hawthornlb.standin.load.support;
 
--- a/hawthornlb-standin/src/test/java/io/hawthornlb/standin/load/ExampleScenariosTest.java
+++ b/hawthornlb-standin/src/test/java/io/hawthornlb/standin/load/ExampleScenariosTest.java
@@ -14,7 +14,7 @@
 
 class ExampleScenariosTest {
 
-  private static final long LONGEST_MILLIS = 60_000;
+  private static final long MAX_MILLIS = 60_000;
 
   private static List<Path> files() throws IOException {
     try (Stream<Path> files = Files.walk(Path.of("..", "examples"))) {
@@ -23,15 +23,14 @@
   }
 
   @Test
-  void eachScenarioIsReadStrictlyAndStaysShortAndOnThisMachine() throws IOException {
+  void eachScenarioIsValidAndShortAndUsesOnlyLoopbackAddresses() throws IOException {
     assertFalse(files().isEmpty());
     for (Path file : files()) {
       Scenario scenario = SettingsReader.read(file, Scenario.class);
       LoopbackAddresses.check(scenario);
-      assertTrue(scenario.durationMillis() <= LONGEST_MILLIS, file.toString());
+      assertTrue(scenario.durationMillis() <= MAX_MILLIS, file.toString());
       assertTrue(
-          scenario.actions().stream().allMatch(a -> a.atMillis() <= LONGEST_MILLIS),
-          file.toString());
+          scenario.actions().stream().allMatch(a -> a.atMillis() <= MAX_MILLIS), file.toString());
     }
   }
 }
--- a/hawthornlb-standin/src/test/java/io/hawthornlb/standin/load/TwinEntry.java
+++ b/hawthornlb-standin/src/test/java/io/hawthornlb/standin/load/FakeEntry.java
@@ -23,10 +23,10 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** An entry that answers at once, and wrongly where it is told to. */
-final class TwinEntry implements AutoCloseable {
+/** A fake entry instance that answers at once, with the errors that the test asks for. */
+final class FakeEntry implements AutoCloseable {
 
-  /** What the twin gets wrong. */
+  /** An error that the fake entry instance makes. */
   enum Flaw {
     NONE,
     TRUNCATES_TEXT,
@@ -49,12 +49,12 @@
   private final HttpServer server;
   private final CallCounter counter = new CallCounter(10_000);
   private final Map<String, List<JsonNode>> jobs = new ConcurrentHashMap<>();
-  private final AtomicInteger looks = new AtomicInteger();
+  private final AtomicInteger statusRequests = new AtomicInteger();
   private volatile boolean cancelled;
   private final AtomicInteger jobNumbers = new AtomicInteger();
   private final Map<String, String> jobIds = new ConcurrentHashMap<>();
 
-  TwinEntry(Flaw... flaws) throws IOException {
+  FakeEntry(Flaw... flaws) throws IOException {
     this.flaws = new HashSet<>(List.of(flaws));
     this.server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
     server.setExecutor(threads);
@@ -96,10 +96,10 @@
 
   private List<String> tokens(ChatRequest request) {
     String hash = Prompt.of(request.messages()).hash();
-    String written = has(Flaw.ANSWERS_ANOTHER) ? "0123456789abcdef" : hash;
+    String answeredHash = has(Flaw.ANSWERS_ANOTHER) ? "0123456789abcdef" : hash;
     List<String> tokens = new ArrayList<>();
     for (int index = 0; index < request.maxTokens(); index++) {
-      tokens.add(AnswerText.token(written, index));
+      tokens.add(AnswerText.token(answeredHash, index));
     }
     if (has(Flaw.TRUNCATES_TEXT) || has(Flaw.CUTS_STREAM)) {
       tokens.remove(tokens.size() - 1);
@@ -153,14 +153,17 @@
     }
   }
 
-  /** A job runs until it is cancelled if its flow is named so; others are done at once. */
+  /**
+   * Returns the status of a job: running until cancelled if its flow is named "endless", else
+   * ended.
+   */
   private String status(List<JsonNode> items) {
     String status = "{\"status\":\"%s\",\"counts\":{\"completed\":%d,\"failed\":%d}}";
     int failed = has(Flaw.FAILS_ITEM) ? 1 : 0;
     if (!items.get(0).toString().contains("endless")) {
       return status.formatted("completed", items.size() - failed, failed);
     }
-    int completed = has(Flaw.GOES_ON_AFTER_CANCEL) ? looks.incrementAndGet() : 0;
+    int completed = has(Flaw.GOES_ON_AFTER_CANCEL) ? statusRequests.incrementAndGet() : 0;
     return status.formatted(cancelled ? "cancelled" : "running", completed, 0);
   }
 
@@ -169,8 +172,8 @@
     for (String line : body.lines().toList()) {
       items.add(WireJson.mapper().readTree(line));
     }
-    String fresh = "job-" + jobNumbers.incrementAndGet();
-    String id = has(Flaw.NEW_JOB_EACH_TIME) ? fresh : jobIds.computeIfAbsent(key, unused -> fresh);
+    String newId = "job-" + jobNumbers.incrementAndGet();
+    String id = has(Flaw.NEW_JOB_EACH_TIME) ? newId : jobIds.computeIfAbsent(key, unused -> newId);
     jobs.putIfAbsent(id, items);
     return id;
   }
--- a/hawthornlb-standin/src/test/java/io/hawthornlb/standin/load/LoadToolTest.java
+++ b/hawthornlb-standin/src/test/java/io/hawthornlb/standin/load/LoadToolTest.java
@@ -10,7 +10,7 @@
 import io.hawthornlb.standin.TestSettings;
 import io.hawthornlb.standin.engine.EngineStandin;
 import io.hawthornlb.standin.fault.FaultOrder;
-import io.hawthornlb.standin.load.TwinEntry.Flaw;
+import io.hawthornlb.standin.load.FakeEntry.Flaw;
 import io.hawthornlb.standin.report.Count;
 import io.hawthornlb.standin.report.FlowResult;
 import io.hawthornlb.standin.report.RunResult;
@@ -77,7 +77,7 @@
   }
 
   @Test
-  void chatsToAnEngineAreAnsweredWholeAndOwn() {
+  void chatsToAnEngineGetTheirOwnCompleteAnswers() {
     try (RunningStandin engine = EngineStandin.start(TestSettings.engine("e-1").build())) {
       RunResult result =
           measure(
@@ -97,7 +97,7 @@
   }
 
   @Test
-  void callsAreComparedWithWhatTheServiceRan() {
+  void answeredCallsAreComparedWithTheRunsOfTheService() {
     try (RunningStandin service = ServiceStandin.start(TestSettings.service("s-1"))) {
       RunResult result =
           measure(
@@ -111,19 +111,20 @@
   }
 
   @Test
-  void entriesThatRefuseConnectionsArePassedOver() throws IOException {
-    TwinEntry gone = new TwinEntry();
-    gone.close();
-    try (TwinEntry entry = new TwinEntry()) {
+  void entriesThatRefuseConnectionsAreSkipped() throws IOException {
+    FakeEntry unreachable = new FakeEntry();
+    unreachable.close();
+    try (FakeEntry entry = new FakeEntry()) {
       RunResult result =
-          measure(scenario(gone.address(), entry.address()).chats(List.of(chats("c").build())));
+          measure(
+              scenario(unreachable.address(), entry.address()).chats(List.of(chats("c").build())));
       assertEquals(20, result.flows().get(0).answered());
     }
   }
 
   @Test
   void jobsAreFollowedToTheirResults() throws IOException {
-    try (TwinEntry entry = new TwinEntry()) {
+    try (FakeEntry entry = new FakeEntry()) {
       RunResult result =
           measure(
               scenario(entry.address()).jobs(List.of(jobs("j").jobs(2).submissions(2).build())));
@@ -135,15 +136,16 @@
   }
 
   /**
-   * One request ended every engine of a fleet, each time it was sent again, and the run was
-   * reported as good, as each sending had its refusal.
+   * Guards against a run that passes although one request crashes every engine. Each retry of the
+   * request crashes another engine and is refused properly, so only the number of lost endpoints
+   * and the causes of the retries show the failure.
    */
   @Test
-  void lostEndpointsAndCausesOfResendsAreCounted() throws IOException {
-    TwinEntry gone = new TwinEntry();
-    gone.close();
-    ChatFlow insistent = chats("c").bursts(List.of(Burst.builder().count(1).build())).build();
-    ChatFlow resending =
+  void lostEndpointsAndCausesOfRetriesAreCounted() throws IOException {
+    FakeEntry unreachable = new FakeEntry();
+    unreachable.close();
+    ChatFlow withoutRetries = chats("c").bursts(List.of(Burst.builder().count(1).build())).build();
+    ChatFlow withRetries =
         chats("r")
             .bursts(List.of(Burst.builder().count(1).build()))
             .resends(2)
@@ -151,12 +153,12 @@
             .build();
     RunResult result =
         measure(
-            scenario(gone.address())
-                .endpoints(List.of(gone.address()))
-                .chats(List.of(insistent, resending)));
+            scenario(unreachable.address())
+                .endpoints(List.of(unreachable.address()))
+                .chats(List.of(withoutRetries, withRetries)));
 
-    assertEquals(List.of(gone.address()), result.endpointsLost());
-    assertTrue(result.broken().contains("endpoints: 1 lost: [" + gone.address() + "]"));
+    assertEquals(List.of(unreachable.address()), result.endpointsLost());
+    assertTrue(result.broken().contains("endpoints: 1 lost: [" + unreachable.address() + "]"));
     assertEquals(List.of(), result.flows().get(0).resent());
     assertEquals(List.of(new Count("unreachable", 2)), result.flows().get(1).resent());
   }
@@ -165,7 +167,7 @@
   void cancelledJobsMustStop() throws IOException {
     JobFlow cancelled = jobs("endless").cancelAfterMillis(100).build();
     for (Flaw flaw : List.of(Flaw.NONE, Flaw.GOES_ON_AFTER_CANCEL)) {
-      try (TwinEntry entry = new TwinEntry(flaw)) {
+      try (FakeEntry entry = new FakeEntry(flaw)) {
         RunResult result = measure(scenario(entry.address()).jobs(List.of(cancelled)));
         assertEquals("cancelled", result.jobs().get(0).status());
         assertEquals(
@@ -177,13 +179,14 @@
   }
 
   @Test
-  void rightAnswersBreakNothing() throws IOException {
-    assertEquals(List.of(), brokenBy(Flaw.NONE));
+  void correctAnswersPassAllChecks() throws IOException {
+    assertEquals(List.of(), failedChecksWith(Flaw.NONE));
   }
 
   /**
-   * A caller gets an answer that is cut short, doubled or meant for somebody else, or a call is
-   * lost or run twice, and the run is reported as good, because the tool believed the status codes.
+   * Guards against a run that passes because the load tool trusts the status codes, although a
+   * caller gets an answer that is truncated, doubled or meant for another caller, or a call is lost
+   * or runs twice.
    */
   @ParameterizedTest
   @CsvSource({
@@ -204,13 +207,13 @@
     "FAILS_ITEM, jobs: item-0 failed",
     "NEW_JOB_EACH_TIME, jobs: the same key got a second job"
   })
-  void flawsAreFound(Flaw flaw, String finding) throws IOException {
-    List<String> broken = brokenBy(flaw);
+  void wrongAnswersAndRunsAreDetected(Flaw flaw, String finding) throws IOException {
+    List<String> broken = failedChecksWith(flaw);
     assertTrue(broken.stream().anyMatch(b -> b.contains(finding)), flaw + ": " + broken);
   }
 
-  private static List<String> brokenBy(Flaw flaw) throws IOException {
-    try (TwinEntry entry = new TwinEntry(flaw)) {
+  private static List<String> failedChecksWith(Flaw flaw) throws IOException {
+    try (FakeEntry entry = new FakeEntry(flaw)) {
       return measure(
               scenario(entry.address())
                   .services(List.of(entry.address()))
@@ -222,7 +225,7 @@
   }
 
   @Test
-  void faultsAreSwitchedOnAndRefusalsCounted() {
+  void faultsAreSwitchedOnAndRefusalsAreCounted() {
     try (RunningStandin engine = EngineStandin.start(TestSettings.engine("e-1").build())) {
       FaultOrder down = FaultOrder.builder().kind("down").build();
       ChatFlow late =
@@ -243,8 +246,8 @@
   }
 
   @Test
-  void onlineLoadRunsWithoutTheJobsFirst() throws IOException {
-    try (TwinEntry entry = new TwinEntry()) {
+  void onlineLoadRunsFirstWithoutTheJobs() throws IOException {
+    try (FakeEntry entry = new FakeEntry()) {
       RunResult result =
           measure(
               scenario(entry.address())
@@ -260,7 +263,7 @@
   @Test
   void writesResultPlotsAndReport() throws IOException {
     Path out = dir.resolve("out");
-    try (TwinEntry entry = new TwinEntry()) {
+    try (FakeEntry entry = new FakeEntry()) {
       Path file = dir.resolve("scenario.yaml");
       Files.writeString(
           file,
@@ -284,7 +287,7 @@
   }
 
   @Test
-  void onlyThisMachineIsLoaded() {
+  void addressesOtherThanLoopbackAreRejected() {
     for (String address : List.of("10.0.0.1:80", "example.org:80", "127.0.0.1.example:80")) {
       Scenario.Builder scenario = scenario(address).chats(List.of(chats("c").build()));
       assertThrows(InvalidScenarioException.class, () -> measure(scenario), address);
@@ -292,7 +295,7 @@
   }
 
   @Test
-  void tooManyRequestsAndUnknownKeysAreRefused() throws IOException {
+  void tooManyRequestsAndUnknownKeysAreRejected() throws IOException {
     Scenario.Builder many =
         scenario("127.0.0.1:1").maxRequests(10).chats(List.of(chats("c").build()));
     assertThrows(InvalidScenarioException.class, () -> measure(many));
--- a/hawthornlb-standin/src/test/java/io/hawthornlb/standin/load/support/PacerTest.java
+++ b/hawthornlb-standin/src/test/java/io/hawthornlb/standin/load/support/PacerTest.java
@@ -24,7 +24,7 @@
   private final RunClock clock = new RunClock();
   private final RunRecorder recorder = new RunRecorder();
 
-  /** The sending of its first request stalls, and holds up the nine after it. */
+  /** A flow whose first request blocks the sending thread and delays the nine requests after it. */
   private final class StallingFlow implements RequestFlow {
 
     @Override
@@ -43,21 +43,21 @@
     }
 
     @Override
-    public CompletableFuture<Ended> send(int number, long intendedNanos) {
+    public CompletableFuture<EndedRequest> send(int number, long intendedNanos) {
       if (number == 0) {
         clock.sleepUntil(STALL);
       }
       Latency latency = Latency.whole(clock.nanos() - intendedNanos);
-      return CompletableFuture.completedFuture(new Ended(Outcome.answered(), latency));
+      return CompletableFuture.completedFuture(new EndedRequest(Outcome.answered(), latency));
     }
   }
 
   /**
-   * An engine stalled for a while and the report showed one slow request: those that should have
-   * come meanwhile were sent late, and their wait was counted from the sending.
+   * Guards against coordinated omission. During a stall of an engine, later requests are sent late.
+   * If their latency counted from the time of sending, the report would show only one slow request.
    */
   @Test
-  void stallsShowInEveryRequestThatTheyHoldUp() {
+  void latencyOfEachDelayedRequestIncludesTheStall() {
     Scenario scenario = Scenario.builder().name("s").entries(List.of("127.0.0.1:1")).build();
     new Pacer(List.of(new StallingFlow()), scenario, clock, recorder).run();
 
@@ -67,7 +67,7 @@
   }
 
   @Test
-  void arrivalsFollowFromTheSeedAndTheRate() {
+  void arrivalTimesDependOnlyOnTheSeedAndMatchTheRate() {
     List<Phase> phases =
         List.of(Phase.builder().fromMillis(1_000).toMillis(11_000).perSecond(100).build());
     long[] times = ArrivalTimes.of(phases, List.of(), 60_000, new SplittableRandom(3));
