--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/dispatch/AttemptRunner.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/dispatch/AttemptRunner.java
@@ -4,7 +4,7 @@
 import java.util.function.Function;
 import reactor.core.publisher.Mono;
 
-/** Takes a request through admission and its tries at endpoints. */
+/** Runs a request through admission and through its attempts at endpoints. */
 public final class AttemptRunner {
 
   private final OnlineDecisions decisions;
@@ -15,11 +15,11 @@
   }
 
   /**
-   * Returns the result of the first try that succeeds, or fails with {@link RefusalException}.
+   * Returns the result of the first attempt that succeeds, or fails with {@link RefusalException}.
    *
    * @param request the request
-   * @param call tries it once; fails with {@link EndpointCallException}
-   * @param <T> the type of result
+   * @param call makes one attempt; fails with {@link EndpointCallException}
+   * @param <T> the type of the result
    */
   public <T> Mono<T> run(OnlineRequest request, Function<RoutedAttempt, Mono<T>> call) {
     Mono<T> admitted =
@@ -35,10 +35,10 @@
                 call.apply(attempt)
                     .doOnCancel(() -> decisions.cancelled(attempt))
                     .onErrorResume(
-                        EndpointCallException.class, error -> next(attempt, error, call)));
+                        EndpointCallException.class, error -> retry(attempt, error, call)));
   }
 
-  private <T> Mono<T> next(
+  private <T> Mono<T> retry(
       RoutedAttempt attempt, EndpointCallException error, Function<RoutedAttempt, Mono<T>> call) {
     return decisions
         .failed(attempt, error.fault())
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/dispatch/ChatCall.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/dispatch/ChatCall.java
@@ -6,15 +6,15 @@
 import java.util.List;
 
 /**
- * One checked chat completion request.
+ * One validated chat completion request.
  *
- * @param workspace who asks
- * @param service the service that the model names
- * @param stream whether the caller wants a token stream
- * @param maxTokens the most tokens to generate
- * @param promptTokens estimate of the length of the prompt
- * @param prefixHashes hashes of the prompt's prefixes, shortest first
- * @param body the request as it came
+ * @param workspace the workspace of the caller
+ * @param service the service named by the request's {@code model}
+ * @param stream whether the caller requested a token stream
+ * @param maxTokens the maximum number of tokens to generate
+ * @param promptTokens the estimated length of the prompt in tokens
+ * @param prefixHashes the hashes of the prompt's prefixes, shortest first
+ * @param body the request body as received
  */
 public record ChatCall(
     WorkspaceEntry workspace,
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/dispatch/ChatDispatcher.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/dispatch/ChatDispatcher.java
@@ -19,13 +19,13 @@
 import reactor.core.publisher.Flux;
 import reactor.core.publisher.Mono;
 
-/** Serves chat completions from engines. */
+/** Serves chat completions by calls to engines. */
 public final class ChatDispatcher implements ChatService {
 
   private static final int FIRST_SERVER_ERROR = 500;
   private static final int SERVICE_UNAVAILABLE = 503;
   private static final int TOO_MANY_REQUESTS = 429;
-  private static final Duration LONGEST_TOKEN_TIME = Duration.ofMillis(200);
+  private static final Duration MAX_TIME_PER_TOKEN = Duration.ofMillis(200);
 
   private final AttemptRunner runner;
   private final OnlineDecisions decisions;
@@ -51,7 +51,7 @@
 
   @Override
   public Mono<WholeAnswer> complete(ChatCall call) {
-    return runner.run(request(call), attempt -> whole(attempt, call));
+    return runner.run(request(call), attempt -> exchangeOnce(attempt, call));
   }
 
   @Override
@@ -64,10 +64,10 @@
         });
   }
 
-  private Mono<WholeAnswer> whole(RoutedAttempt attempt, ChatCall call) {
+  private Mono<WholeAnswer> exchangeOnce(RoutedAttempt attempt, ChatCall call) {
     AtomicBoolean answered = new AtomicBoolean();
     return endpoints
-        .exchange(engineCall(attempt, call), wholeTimeout(attempt))
+        .exchange(engineCall(attempt, call), answerTimeout(attempt))
         .flatMap(ChatDispatcher::checked)
         .doOnNext(answer -> answered.set(true))
         .doOnNext(answer -> decisions.answering(attempt))
@@ -82,19 +82,20 @@
   }
 
   /**
-   * Bounds the wait for a whole answer by what the slowest engine needs for it.
+   * Returns the timeout for a complete answer: the time that the slowest engine needs for it, or
+   * the remaining time until the deadline if that is shorter.
    *
-   * <p>A connection that has gone silent never fails on its own: without this bound the caller
-   * would wait until the deadline although another endpoint could still answer in time.
+   * <p>A connection on which no more data arrives does not fail on its own. Without this timeout
+   * the caller would wait until the deadline, although another endpoint could still answer in time.
    */
-  private static Duration wholeTimeout(RoutedAttempt attempt) {
+  private static Duration answerTimeout(RoutedAttempt attempt) {
     OnlineRequest request = attempt.request();
     Duration slowest =
         request
             .service()
             .firstToken()
             .multipliedBy(2)
-            .plus(LONGEST_TOKEN_TIME.multipliedBy(request.maxTokens()));
+            .plus(MAX_TIME_PER_TOKEN.multipliedBy(request.maxTokens()));
     return slowest.compareTo(attempt.remaining()) < 0 ? slowest : attempt.remaining();
   }
 
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/dispatch/ChatService.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/dispatch/ChatService.java
@@ -4,17 +4,18 @@
 import reactor.core.publisher.Flux;
 import reactor.core.publisher.Mono;
 
-/** Serves chat completions; a request that is not served fails with {@link RefusalException}. */
+/** Serves chat completions. A refused request fails with {@link RefusalException}. */
 public interface ChatService {
 
-  /** Returns the whole answer. */
+  /** Returns the complete answer of a request that is not streamed. */
   Mono<WholeAnswer> complete(ChatCall call);
 
   /**
-   * Returns the token stream once its first event is there.
+   * Returns the token stream once its first event has arrived.
    *
-   * <p>The stream gives the data of each event, the end marker last. One that fails later ends with
-   * an error and without the end marker, so that a part is never taken for the whole.
+   * <p>The stream emits the data of each event; the end marker comes last. A stream that fails
+   * after its first event ends with an error and without the end marker, so that no client takes a
+   * partial answer for a complete one.
    */
   Mono<Flux<String>> stream(ChatCall call);
 }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/dispatch/OnlineDecisions.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/dispatch/OnlineDecisions.java
@@ -5,33 +5,34 @@
 import reactor.core.publisher.Mono;
 
 /**
- * The decisions about online requests, asked from any thread.
+ * Decides about the admission, routing and retries of online requests. All methods may be called
+ * from any thread.
  *
  * <p>Each admitted request ends with exactly one call of {@link #finished}.
  */
 public interface OnlineDecisions {
 
-  /** Completes when the request may start, or fails with {@link RefusalException}. */
+  /** Admits a request. Completes once it may start, or fails with {@link RefusalException}. */
   Mono<Void> admit(OnlineRequest request);
 
-  /** Returns where to try next, or fails with {@link RefusalException}. */
+  /** Returns the next attempt of a request, or fails with {@link RefusalException}. */
   Mono<RoutedAttempt> route(OnlineRequest request);
 
-  /** Tells that the first token or the whole answer is there. */
+  /** Reports that the first token or the complete answer has arrived. */
   void answering(RoutedAttempt attempt);
 
-  /** Tells that the endpoint gave the whole answer. */
+  /** Reports that the complete answer has arrived. */
   void succeeded(RoutedAttempt attempt);
 
-  /** Tells that the caller went away while the endpoint had the request. */
+  /** Reports that the caller disconnected while the endpoint had the request. */
   void cancelled(RoutedAttempt attempt);
 
   /**
-   * Returns how long to wait before the next try, or fails with {@link RefusalException} when there
-   * must not be one.
+   * Reports a failed attempt. Returns the delay before the next attempt, or fails with {@link
+   * RefusalException} if the request must not be attempted again.
    */
   Mono<Duration> failed(RoutedAttempt attempt, EndpointFault fault);
 
-  /** Tells that an admitted request needs nothing any more. */
+  /** Reports that an admitted request has ended, so that its resources are released. */
   void finished(OnlineRequest request);
 }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/dispatch/OnlineRequest.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/dispatch/OnlineRequest.java
@@ -8,17 +8,17 @@
 import java.util.List;
 
 /**
- * What the decisions need to know of an online request.
+ * The attributes of an online request that admission, routing and retries use.
  *
- * @param id names it across instances and endpoints
- * @param workspace who asks
- * @param service what is asked for
- * @param fingerprint the same for every resend of the same content
- * @param idempotent whether it may be executed more than once
- * @param promptTokens estimate of the length of its prompt; 0 for plain services
- * @param maxTokens the most tokens to generate; 0 for plain services
- * @param prefixHashes hashes of its prompt's prefixes, shortest first
- * @param deadline when the answer must be there
+ * @param id the id of the request, unique across instances and endpoints
+ * @param workspace the workspace of the caller
+ * @param service the requested service
+ * @param fingerprint the fingerprint of the content; the same for every resend of that content
+ * @param idempotent whether the request may be executed more than once
+ * @param promptTokens the estimated length of the prompt in tokens; 0 for plain services
+ * @param maxTokens the maximum number of tokens to generate; 0 for plain services
+ * @param prefixHashes the hashes of the prompt's prefixes, shortest first
+ * @param deadline the time by which the caller must have the answer
  */
 public record OnlineRequest(
     RequestId id,
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/dispatch/PlainCall.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/dispatch/PlainCall.java
@@ -9,13 +9,13 @@
 /**
  * One call to a plain service.
  *
- * @param workspace who asks
- * @param service the service
+ * @param workspace the workspace of the caller
+ * @param service the service to call
  * @param method the HTTP method
- * @param uri path and query below the service
- * @param headers end-to-end header fields of the caller
- * @param idempotencyKey the caller's name for a call that must not run twice
- * @param body the body; empty for none
+ * @param uri the path and query, relative to the service
+ * @param headers the end-to-end header fields of the caller's request
+ * @param idempotencyKey the caller's key for a call that must not run twice
+ * @param body the request body; empty if there is none
  */
 public record PlainCall(
     WorkspaceEntry workspace,
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/dispatch/PlainDispatcher.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/dispatch/PlainDispatcher.java
@@ -15,7 +15,7 @@
 import java.util.function.Supplier;
 import reactor.core.publisher.Mono;
 
-/** Serves calls to plain services that need no durable intent. */
+/** Serves calls to plain services directly, without a durable intent. */
 public final class PlainDispatcher implements PlainService {
 
   private static final int SERVICE_UNAVAILABLE = 503;
@@ -42,7 +42,7 @@
 
   @Override
   public Mono<WholeAnswer> call(PlainCall call) {
-    return runner.run(request(call), attempt -> once(attempt, call));
+    return runner.run(request(call), attempt -> callOnce(attempt, call));
   }
 
   /** Returns whether a call may be executed more than once. */
@@ -55,7 +55,7 @@
         || (repeatability == Repeatability.SAFE_METHODS && SAFE_METHODS.contains(call.method()));
   }
 
-  private Mono<WholeAnswer> once(RoutedAttempt attempt, PlainCall call) {
+  private Mono<WholeAnswer> callOnce(RoutedAttempt attempt, PlainCall call) {
     EndpointCall sent =
         new EndpointCall(
             attempt.address(),
@@ -72,10 +72,11 @@
   }
 
   /**
-   * Passes every answer but "unavailable" of a call that may be repeated.
+   * Fails with {@link EndpointFault#DECLINED} for status 503 if the call may be repeated, and
+   * returns every other answer unchanged.
    *
-   * <p>A service that answers 503 to a call that must run at most once may have acted before it
-   * failed, so the caller gets that answer as it is.
+   * <p>A service that answers 503 to a call that must run at most once may have processed the call
+   * before it failed. The caller therefore receives that answer unchanged.
    */
   private static Mono<WholeAnswer> checked(WholeAnswer answer, RoutedAttempt attempt) {
     if (answer.status() == SERVICE_UNAVAILABLE && attempt.request().idempotent()) {
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/dispatch/PlainService.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/dispatch/PlainService.java
@@ -3,9 +3,9 @@
 import io.hawthornlb.net.endpoint.WholeAnswer;
 import reactor.core.publisher.Mono;
 
-/** Serves calls to plain services; one that is not served fails with {@link RefusalException}. */
+/** Serves calls to plain services. A refused call fails with {@link RefusalException}. */
 public interface PlainService {
 
-  /** Returns the whole answer. */
+  /** Returns the complete answer. */
   Mono<WholeAnswer> call(PlainCall call);
 }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/dispatch/RefusalException.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/dispatch/RefusalException.java
@@ -2,7 +2,7 @@
 
 import io.hawthornlb.core.model.Refusal;
 
-/** Carries the final answer of a request that was not served through a reactive chain. */
+/** Propagates the refusal of a request through a reactive chain. */
 public class RefusalException extends RuntimeException {
 
   private static final long serialVersionUID = 1L;
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/dispatch/RoutedAttempt.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/dispatch/RoutedAttempt.java
@@ -5,19 +5,19 @@
 import java.time.Duration;
 
 /**
- * One try of a request at one endpoint.
+ * One attempt to serve a request at an endpoint.
  *
  * @param request the request
  * @param endpoint the endpoint
- * @param address its host and port
- * @param number counts the tries of the request from 1
- * @param remaining the time until the deadline
+ * @param address the host and port of the endpoint
+ * @param number the number of the attempt within the request, from 1
+ * @param remaining the time until the deadline of the request
  */
 public record RoutedAttempt(
     OnlineRequest request, EndpointId endpoint, String address, int number, Duration remaining) {
 
   /** Checks the number. */
   public RoutedAttempt {
-    Checks.isTrue(number > 0, "attempts count from 1");
+    Checks.isTrue(number > 0, "attempt number must be 1 or more");
   }
 }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/dispatch/StreamSession.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/dispatch/StreamSession.java
@@ -22,21 +22,21 @@
 import reactor.core.publisher.Sinks;
 
 /**
- * One token stream from its admission to its end marker.
+ * Handles one token stream, from the admission of the request to the end marker.
  *
- * <p>Before the first event a failed try moves to another endpoint. After it the stream is resumed
- * at the same endpoint from the first token that the caller lacks, since another endpoint would
- * generate other text.
+ * <p>An attempt that fails before the first event is retried at another endpoint. After the first
+ * event, the session resumes the stream at the same endpoint, from the first token that the caller
+ * has not received, since another endpoint would generate different text.
  */
 final class StreamSession {
 
-  /** The data of the event that ends a whole stream. */
+  /** The data of the event that ends a complete stream. */
   static final String END_MARKER = "[DONE]";
 
   private static final String TOKEN_FIELD = "hawthornlb_token";
   private static final int BUFFERED_EVENTS = 4_096;
-  private static final int RESUMES_WITHOUT_PROGRESS = 3;
-  private static final Duration SHORTEST_SILENCE = Duration.ofSeconds(2);
+  private static final int MAX_RESUMES_WITHOUT_PROGRESS = 3;
+  private static final Duration MIN_IDLE_TIMEOUT = Duration.ofSeconds(2);
 
   private final OnlineRequest request;
   private final ChatCall call;
@@ -47,11 +47,11 @@
   private final Sinks.Many<String> events =
       Sinks.many().unicast().onBackpressureBuffer(new ArrayBlockingQueue<>(BUFFERED_EVENTS));
   private final Disposable.Composite upstream = Disposables.composite();
-  private final AtomicBoolean over = new AtomicBoolean();
+  private final AtomicBoolean closed = new AtomicBoolean();
 
   private volatile @Nullable RoutedAttempt attempt;
-  private volatile boolean begun;
-  private volatile boolean ended;
+  private volatile boolean firstEventReceived;
+  private volatile boolean endMarkerReceived;
   private volatile long nextToken;
   private volatile int resumes;
 
@@ -68,29 +68,33 @@
     this.mapper = mapper;
   }
 
-  /** Returns the stream once its first event is there. */
+  /** Returns the stream once its first event has arrived. */
   Mono<Flux<String>> start() {
-    return decisions.admit(request).then(Mono.defer(this::begin)).doOnCancel(this::startCancelled);
+    return decisions
+        .admit(request)
+        .then(Mono.defer(this::begin))
+        .doOnCancel(this::onStartCancelled);
   }
 
   /**
-   * Takes a cancellation of the wait for the first event.
+   * Handles a cancellation of the Mono that waits for the first event.
    *
-   * <p>Subscribers of a single value may cancel right after they have it. Taken for a caller that
-   * left, that would end each stream after its first event.
+   * <p>A subscriber of a Mono may cancel right after it has received the value. Such a cancellation
+   * does not mean that the caller disconnected; treating it so would end each stream after its
+   * first event.
    */
-  private void startCancelled() {
-    if (!begun) {
-      callerLeft();
+  private void onStartCancelled() {
+    if (!firstEventReceived) {
+      onCallerDisconnect();
     }
   }
 
   private Mono<Flux<String>> begin() {
-    upstream.add(tries().subscribe(this::publish, this::fail, this::complete));
+    upstream.add(attempts().subscribe(this::publish, this::fail, this::complete));
     return started.asMono();
   }
 
-  private Flux<String> tries() {
+  private Flux<String> attempts() {
     return decisions
         .route(request)
         .flatMapMany(this::open)
@@ -99,20 +103,20 @@
 
   private Flux<String> open(RoutedAttempt routed) {
     attempt = routed;
-    return whole(endpoints.events(ChatDispatcher.engineCall(routed, call), silence()));
+    return untilEndMarker(endpoints.events(ChatDispatcher.engineCall(routed, call), idleTimeout()));
   }
 
-  /** Drops tokens that came before, and fails where the end marker is missing. */
-  private Flux<String> whole(Flux<String> source) {
+  /** Drops tokens that were already received, and fails if the end marker is missing. */
+  private Flux<String> untilEndMarker(Flux<String> source) {
     return source
-        .filter(this::isNew)
-        .concatWith(Flux.defer(() -> ended ? Flux.empty() : Flux.error(endedEarly())))
+        .filter(this::isNewToken)
+        .concatWith(Flux.defer(() -> endMarkerReceived ? Flux.empty() : Flux.error(endedEarly())))
         .takeUntil(END_MARKER::equals);
   }
 
-  private boolean isNew(String data) {
+  private boolean isNewToken(String data) {
     if (END_MARKER.equals(data)) {
-      ended = true;
+      endMarkerReceived = true;
       return true;
     }
     long token = token(data);
@@ -125,7 +129,8 @@
   }
 
   private static EndpointCallException endedEarly() {
-    return new EndpointCallException(EndpointFault.BROKEN, "stream ended early", null);
+    return new EndpointCallException(
+        EndpointFault.BROKEN, "the stream ended before its end marker", null);
   }
 
   private Flux<String> recover(EndpointCallException error) {
@@ -134,49 +139,55 @@
       return Flux.error(error);
     }
     EndpointFault fault = error.fault();
-    boolean mayBeThere = fault == EndpointFault.TIMED_OUT || fault == EndpointFault.BROKEN;
-    if (mayBeThere && resumes < RESUMES_WITHOUT_PROGRESS) {
+    boolean mayStillRun = fault == EndpointFault.TIMED_OUT || fault == EndpointFault.BROKEN;
+    if (mayStillRun && resumes < MAX_RESUMES_WITHOUT_PROGRESS) {
       resumes++;
       return resume(current).onErrorResume(EndpointCallException.class, this::recover);
     }
     resumes = 0;
     if (nextToken > 0) {
-      return decisions.failed(current, fault).thenMany(Flux.error(new RefusalException(lost())));
+      return decisions
+          .failed(current, fault)
+          .thenMany(Flux.error(new RefusalException(endpointLost())));
     }
-    return decisions.failed(current, fault).flatMap(Mono::delay).thenMany(Flux.defer(this::tries));
+    return decisions
+        .failed(current, fault)
+        .flatMap(Mono::delay)
+        .thenMany(Flux.defer(this::attempts));
   }
 
   /**
-   * Asks the endpoint for the rest over another connection.
+   * Requests the remaining tokens from the endpoint over a new connection.
    *
-   * <p>Something between the two ends may have lost track of the first connection: it stays open,
-   * no byte comes, and the endpoint goes on generating. The new connection shows whether the
-   * endpoint still has the stream, and tokens that arrive twice are dropped by their number.
+   * <p>A network device between the two ends may have lost the state of the first connection. That
+   * connection then stays open without delivering any data, while the endpoint continues to
+   * generate. The new connection shows whether the endpoint still has the stream. Tokens that
+   * arrive twice are recognized by their number and dropped.
    */
   private Flux<String> resume(RoutedAttempt current) {
-    EndpointCall rest =
+    EndpointCall resumption =
         EngineStreams.resume(
             current.address(), request.id().value(), nextToken, TrafficKind.ONLINE);
-    return whole(endpoints.events(rest, silence()));
+    return untilEndMarker(endpoints.events(resumption, idleTimeout()));
   }
 
   private void publish(String data) {
-    if (!begun) {
-      begun = true;
+    if (!firstEventReceived) {
+      firstEventReceived = true;
       RoutedAttempt current = attempt;
       if (current != null) {
         decisions.answering(current);
       }
-      started.tryEmitValue(events.asFlux().doOnCancel(this::callerLeft));
+      started.tryEmitValue(events.asFlux().doOnCancel(this::onCallerDisconnect));
     }
     if (events.tryEmitNext(data).isFailure()) {
-      callerLeft();
-      events.tryEmitError(new RefusalException(lost()));
+      onCallerDisconnect();
+      events.tryEmitError(new RefusalException(endpointLost()));
     }
   }
 
   private void complete() {
-    if (over.compareAndSet(false, true)) {
+    if (closed.compareAndSet(false, true)) {
       RoutedAttempt current = attempt;
       if (current != null) {
         decisions.succeeded(current);
@@ -187,15 +198,15 @@
   }
 
   private void fail(Throwable error) {
-    if (over.compareAndSet(false, true)) {
+    if (closed.compareAndSet(false, true)) {
       started.tryEmitError(error);
       events.tryEmitError(error);
       decisions.finished(request);
     }
   }
 
-  private void callerLeft() {
-    if (!over.compareAndSet(false, true)) {
+  private void onCallerDisconnect() {
+    if (!closed.compareAndSet(false, true)) {
       return;
     }
     upstream.dispose();
@@ -207,9 +218,12 @@
     decisions.finished(request);
   }
 
-  /** Returns how long the connection may give nothing; longer with each resume in vain. */
-  private Duration silence() {
-    return SHORTEST_SILENCE.multipliedBy(1L << resumes);
+  /**
+   * Returns how long the connection may stay idle. The timeout doubles with each resume that made
+   * no progress.
+   */
+  private Duration idleTimeout() {
+    return MIN_IDLE_TIMEOUT.multipliedBy(1L << resumes);
   }
 
   private long token(String data) {
@@ -221,8 +235,9 @@
     }
   }
 
-  private static Refusal lost() {
+  private static Refusal endpointLost() {
     return Refusal.mayHaveRun(
-        RefusalReason.ENDPOINT_FAILED, "the endpoint was lost; the text so far is not the whole");
+        RefusalReason.ENDPOINT_FAILED,
+        "the endpoint was lost; the text received so far is incomplete");
   }
 }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/dispatch/package-info.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/dispatch/package-info.java
@@ -1,4 +1,4 @@
-/** Carries online requests from admission over routing to an endpoint and back. */
+/** Runs online requests through admission and routing to an endpoint and returns the answers. */
 @NullMarked
 package io.hawthornlb.app.dispatch;
 
