--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/batch/BacklogNotice.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/batch/BacklogNotice.java
@@ -7,11 +7,11 @@
 import java.util.List;
 
 /**
- * Tells stewards that a partition has items to give out.
+ * Reports the items of a partition that wait for dispatch to the batch dispatchers.
  *
- * @param holder who gives them out
+ * @param holder the holder of the partition
  * @param partition the partition
- * @param backlog the items by service
+ * @param backlog the waiting items by service
  */
 public record BacklogNotice(InstanceId holder, PartitionId partition, List<ServiceBacklog> backlog)
     implements PeerMessage {
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/batch/BatchPlane.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/batch/BatchPlane.java
@@ -1,6 +1,6 @@
 package io.hawthornlb.app.batch;
 
-import static io.hawthornlb.app.entry.MessageHandlers.heard;
+import static io.hawthornlb.app.entry.MessageHandlers.oneWay;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import io.hawthornlb.app.entry.CatalogueHolder;
@@ -42,7 +42,10 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 
-/** Batch work on this instance: stewards of endpoints, and what they exchange with holders. */
+/**
+ * Wires batch processing on an instance: the dispatchers of endpoints, and the messages between
+ * dispatchers and the holders of partitions.
+ */
 public final class BatchPlane {
 
   private static final System.Logger LOG = System.getLogger(BatchPlane.class.getName());
@@ -55,15 +58,15 @@
   private final EndpointClient endpoints;
   private final DecisionLoop loop;
   private final InstantSource clock;
-  private final ReportDesk reports;
-  private final SuspectGate suspects;
+  private final ItemReporter reports;
+  private final BatchSuspectTracker suspects;
   private final ItemLoader loader;
-  private final BacklogBoard board = new BacklogBoard(new SplittableRandom());
+  private final BacklogTable backlogs = new BacklogTable(new SplittableRandom());
   private final ObjectMapper mapper = new ObjectMapper();
-  private final Map<EndpointId, StewardHost> hosts = new HashMap<>();
+  private final Map<EndpointId, DispatcherRunner> dispatchers = new HashMap<>();
   private boolean stopping;
 
-  /** Creates the plane without stewards. */
+  /** Creates the components, without any dispatcher. */
   public BatchPlane(
       InstanceId self,
       OnlinePolicies policies,
@@ -84,99 +87,118 @@
     this.endpoints = endpoints;
     this.loop = loop;
     this.clock = clock;
-    this.reports = new ReportDesk(self, claims, effects);
-    this.suspects = new SuspectGate(policies, crashes, effects, loop, clock);
+    this.reports = new ItemReporter(self, claims, effects);
+    this.suspects = new BatchSuspectTracker(policies, crashes, effects, loop, clock);
     this.loader = new ItemLoader(log, mapper);
   }
 
-  /** Adds the handlers of messages between stewards and holders. */
+  /** Registers the handlers of messages between dispatchers and holders. */
   public void register(PeerHandlerRegistry.Builder builder) {
     builder
-        .register(BacklogNotice.class, heard(notice -> board.note(notice, clock.instant())))
-        .register(ItemsDispatched.class, heard(this::dispatched))
-        .register(ItemsCancelled.class, heard(this::cancelled))
-        .register(ItemsSettled.class, heard(reports::forget))
-        .register(PullJobItems.class, heard(this::pulled))
-        .register(OnlineNotice.class, heard(this::heardOnline));
-  }
-
-  /** Takes the endpoints whose steward this instance is now; on the loop. */
-  public void stewarding(List<Endpoint> stewarded) {
-    Set<EndpointId> now = new HashSet<>();
-    for (Endpoint endpoint : stewarded) {
+        .register(BacklogNotice.class, oneWay(notice -> backlogs.onNotice(notice, clock.instant())))
+        .register(ItemsDispatched.class, oneWay(this::onDispatched))
+        .register(ItemsCancelled.class, oneWay(this::onCancelled))
+        .register(ItemsSettled.class, oneWay(reports::onSettled))
+        .register(PullJobItems.class, oneWay(this::onPull))
+        .register(OnlineNotice.class, oneWay(this::onOnlineNotice));
+  }
+
+  /**
+   * Sets the endpoints that this instance dispatches to. Starts a dispatcher for each new engine
+   * that has reported its load, and stops the dispatchers of endpoints that are no longer assigned.
+   * Call this method on the decision loop.
+   */
+  public void dispatchTo(List<Endpoint> assigned) {
+    Set<EndpointId> current = new HashSet<>();
+    for (Endpoint endpoint : assigned) {
       if (!stopping && engine(endpoint).isPresent() && endpoint.load().isPresent()) {
-        now.add(endpoint.id());
-        hosts.computeIfAbsent(endpoint.id(), id -> host(endpoint));
+        current.add(endpoint.id());
+        dispatchers.computeIfAbsent(endpoint.id(), id -> createDispatcher(endpoint));
       }
     }
-    Set<EndpointId> over = new HashSet<>(hosts.keySet());
-    over.removeAll(now);
-    over.forEach(id -> hosts.remove(id).stop());
+    Set<EndpointId> removed = new HashSet<>(dispatchers.keySet());
+    removed.removeAll(current);
+    removed.forEach(id -> dispatchers.remove(id).stop());
   }
 
-  /** Completes a load report with the batch items of the endpoint; on the loop. */
-  public LoadReport completed(EndpointId endpoint, LoadReport report) {
-    StewardHost host = hosts.get(endpoint);
-    if (host == null) {
+  /**
+   * Passes a load report to the dispatcher of the endpoint and returns the report with the number
+   * of batch items that ran at the time of the report. Call this method on the decision loop.
+   */
+  public LoadReport completeReport(EndpointId endpoint, LoadReport report) {
+    DispatcherRunner dispatcher = dispatchers.get(endpoint);
+    if (dispatcher == null) {
       return report;
     }
-    host.load(report);
-    return report.withBatch(host.batchAt(report.asOf()));
+    dispatcher.onLoad(report);
+    return report.withBatch(dispatcher.batchAt(report.asOf()));
   }
 
-  /** Takes the number of own online requests in flight at an endpoint; on the loop. */
-  public void online(EndpointId endpoint, int inFlight) {
-    heardOnline(new OnlineNotice(self, endpoint, inFlight));
+  /**
+   * Sets the number of online requests of this instance in flight at an endpoint. Call this method
+   * on the decision loop.
+   */
+  public void onOwnRequests(EndpointId endpoint, int inFlight) {
+    onOnlineNotice(new OnlineNotice(self, endpoint, inFlight));
   }
 
-  /** Returns whether this instance sends batch items to an endpoint; on the loop. */
-  public boolean stewards(EndpointId endpoint) {
-    return hosts.containsKey(endpoint);
+  /**
+   * Returns whether this instance dispatches batch items to an endpoint. Call this method on the
+   * decision loop.
+   */
+  public boolean dispatchesTo(EndpointId endpoint) {
+    return dispatchers.containsKey(endpoint);
   }
 
-  /** Lets stewards do what time calls for; several times a second. */
+  /** Runs the time-dependent work of all dispatchers. Call this method several times a second. */
   public void tick() {
-    List.copyOf(hosts.values()).forEach(StewardHost::tick);
+    List.copyOf(dispatchers.values()).forEach(DispatcherRunner::tick);
   }
 
-  /** Tells stewards of items to give out; a few times a second. */
+  /**
+   * Broadcasts the backlogs of the partitions held by this instance to all dispatchers. Call this
+   * method a few times a second.
+   */
   public void sendBacklogs() {
     partitions
         .backlogs()
         .forEach(
             (partition, backlog) -> {
               BacklogNotice notice = new BacklogNotice(self, partition, backlog);
-              board.note(notice, clock.instant());
+              backlogs.onNotice(notice, clock.instant());
               effects.perform(List.of(new SpreadPeerMessage(notice, SpreadScope.FLEET)));
             });
   }
 
-  /** Sends reports again and names what is in progress; once a second. */
-  public void repeatReports() {
+  /**
+   * Resends the reports that are not durable yet, and lists the items in progress to their holders.
+   * Call this method once a second.
+   */
+  public void resendReports() {
     Set<ItemKey> inProgress = new HashSet<>();
-    for (StewardHost host : hosts.values()) {
-      for (ItemRef ref : host.inProgress()) {
+    for (DispatcherRunner dispatcher : dispatchers.values()) {
+      for (ItemRef ref : dispatcher.inProgress()) {
         inProgress.add(new ItemKey(ref.job(), ref.index()));
       }
     }
-    reports.repeat(inProgress);
+    reports.resend(inProgress);
   }
 
-  /** Gives everything back to the holders; on the loop. */
+  /** Returns all items to the holders. Call this method on the decision loop. */
   public void stop() {
     stopping = true;
-    stewarding(List.of());
+    dispatchTo(List.of());
   }
 
-  /** Returns whether every report is durable; on the loop. */
+  /** Returns whether every report is durable. Call this method on the decision loop. */
   public boolean settled() {
     return reports.settled();
   }
 
-  private StewardHost host(Endpoint endpoint) {
+  private DispatcherRunner createDispatcher(Endpoint endpoint) {
     ServiceEntry service = engine(endpoint).orElseThrow();
     int slots = endpoint.load().map(LoadReport::slots).orElse(1);
-    return new StewardHost(
+    return new DispatcherRunner(
         endpoint.id(),
         endpoint.address(),
         new HeadroomSteward(
@@ -200,7 +222,7 @@
 
   private void pull(PullItems pull) {
     Instant now = clock.instant();
-    board
+    backlogs
         .next(pull.service(), now)
         .ifPresent(
             source ->
@@ -212,40 +234,40 @@
                                 self, pull.endpoint(), pull.service(), pull.count())))));
   }
 
-  private void pulled(PullJobItems message) {
-    partitions.pulled(message);
+  private void onPull(PullJobItems message) {
+    partitions.onPull(message);
   }
 
-  private void dispatched(ItemsDispatched message) {
+  private void onDispatched(ItemsDispatched message) {
     if (message.items().isEmpty()) {
-      board.empty(message.partition());
+      backlogs.remove(message.partition());
     }
-    StewardHost host = hosts.get(message.endpoint());
-    if (host == null) {
+    DispatcherRunner dispatcher = dispatchers.get(message.endpoint());
+    if (dispatcher == null) {
       return;
     }
     loader
         .load(message)
         .subscribe(
-            items -> loop.execute(() -> host.items(items)),
+            items -> loop.execute(() -> dispatcher.onItems(items)),
             error ->
                 LOG.log(
                     System.Logger.Level.WARNING,
-                    "batch: items of partition {0} cannot be read now: {1}",
+                    "batch: could not read the items of partition {0}: {1}",
                     message.partition().value(),
                     error.getMessage()));
   }
 
-  private void cancelled(ItemsCancelled message) {
-    for (StewardHost host : List.copyOf(hosts.values())) {
-      message.items().forEach(index -> host.cancelled(new ItemRef(message.job(), index)));
+  private void onCancelled(ItemsCancelled message) {
+    for (DispatcherRunner dispatcher : List.copyOf(dispatchers.values())) {
+      message.items().forEach(index -> dispatcher.cancel(new ItemRef(message.job(), index)));
     }
   }
 
-  private void heardOnline(OnlineNotice notice) {
-    StewardHost host = hosts.get(notice.endpoint());
-    if (host != null) {
-      host.online(notice.sender(), notice.inFlight());
+  private void onOnlineNotice(OnlineNotice notice) {
+    DispatcherRunner dispatcher = dispatchers.get(notice.endpoint());
+    if (dispatcher != null) {
+      dispatcher.onOnline(notice.sender(), notice.inFlight());
     }
   }
 }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/batch/SuspectGate.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/batch/BatchSuspectTracker.java
@@ -19,8 +19,11 @@
 import java.util.stream.Collectors;
 import org.jspecify.annotations.Nullable;
 
-/** Holds batch items to what is known of requests that crash endpoints; used on the loop. */
-final class SuspectGate {
+/**
+ * Applies the table of suspects, which are requests that may crash endpoints, to batch items. Used
+ * on the decision loop.
+ */
+final class BatchSuspectTracker {
 
   private final OnlinePolicies policies;
   private final CrashDetector crashes;
@@ -28,7 +31,7 @@
   private final DecisionLoop loop;
   private final InstantSource clock;
 
-  SuspectGate(
+  BatchSuspectTracker(
       OnlinePolicies policies,
       CrashDetector crashes,
       EffectSink effects,
@@ -56,28 +59,35 @@
     effects.perform(policies.suspects().onAloneStarted(fingerprint, endpoint, clock.instant()));
   }
 
-  void succeeded(Fingerprint fingerprint, EndpointId endpoint) {
+  void aloneSucceeded(Fingerprint fingerprint, EndpointId endpoint) {
     effects.perform(policies.suspects().onAloneSucceeded(fingerprint, endpoint, clock.instant()));
   }
 
-  /** Opens an endpoint again that a suspect has left, neither well nor by a crash. */
-  void left(Fingerprint fingerprint, EndpointId endpoint) {
+  /**
+   * Ends the quarantine of an endpoint where a suspect ran alone and ended neither with success nor
+   * with a crash.
+   */
+  void aloneEnded(Fingerprint fingerprint, EndpointId endpoint) {
     effects.perform(policies.suspects().onAloneEnded(fingerprint, endpoint, clock.instant()));
   }
 
-  /** Looks whether a broken connection was a crash, and counts it for all that ran there. */
-  void broken(EndpointId endpoint, String address, @Nullable ItemWork work, List<ItemWork> beside) {
+  /**
+   * Probes whether the endpoint behind a broken connection has crashed. A crash is counted for all
+   * items that ran at the endpoint.
+   */
+  void connectionBroken(
+      EndpointId endpoint, String address, @Nullable LoadedItem loaded, List<LoadedItem> others) {
     List<Fingerprint> fingerprints = new ArrayList<>();
-    if (work != null) {
-      fingerprints.add(work.fingerprint());
+    if (loaded != null) {
+      fingerprints.add(loaded.fingerprint());
     }
-    beside.forEach(each -> fingerprints.add(each.fingerprint()));
+    others.forEach(each -> fingerprints.add(each.fingerprint()));
     crashes
         .probe(endpoint, address)
-        .subscribe(result -> loop.execute(() -> noted(endpoint, fingerprints, result)));
+        .subscribe(result -> loop.execute(() -> onProbed(endpoint, fingerprints, result)));
   }
 
-  private void noted(
+  private void onProbed(
       EndpointId endpoint, List<Fingerprint> fingerprints, CrashDetector.Result result) {
     Instant now = clock.instant();
     Observation observation = result.crashed() ? Observation.CRASH : Observation.FAILURE;
@@ -85,7 +95,7 @@
     if (result.crashed() && result.firstToSee()) {
       effects.perform(policies.suspects().onCrash(endpoint, fingerprints, now));
     }
-    // Does nothing after a crash that was counted.
-    fingerprints.forEach(fingerprint -> left(fingerprint, endpoint));
+    // Has no effect on suspects whose crash was counted above.
+    fingerprints.forEach(fingerprint -> aloneEnded(fingerprint, endpoint));
   }
 }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/batch/StewardHost.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/batch/DispatcherRunner.java
@@ -28,36 +28,36 @@
 import java.util.concurrent.Executor;
 import java.util.function.Consumer;
 
-/** Carries out what the steward of one endpoint decides; used on the loop. */
-final class StewardHost {
+/** Performs the effects of the batch dispatcher of one endpoint. Used on the decision loop. */
+final class DispatcherRunner {
 
   private final EndpointId endpoint;
   private final String address;
-  private final Steward steward;
+  private final Steward dispatcher;
   private final EndpointClient endpoints;
   private final ObjectMapper mapper;
   private final Executor loop;
   private final InstantSource clock;
-  private final ReportDesk reports;
-  private final SuspectGate suspects;
+  private final ItemReporter reports;
+  private final BatchSuspectTracker suspects;
   private final Consumer<PullItems> pulls;
-  private final Map<ItemRef, ItemWork> works = new HashMap<>();
+  private final Map<ItemRef, LoadedItem> inProgress = new HashMap<>();
   private final Map<ItemRef, ItemExecution> running = new HashMap<>();
 
-  StewardHost(
+  DispatcherRunner(
       EndpointId endpoint,
       String address,
-      Steward steward,
+      Steward dispatcher,
       EndpointClient endpoints,
       ObjectMapper mapper,
       Executor loop,
       InstantSource clock,
-      ReportDesk reports,
-      SuspectGate suspects,
+      ItemReporter reports,
+      BatchSuspectTracker suspects,
       Consumer<PullItems> pulls) {
     this.endpoint = endpoint;
     this.address = address;
-    this.steward = steward;
+    this.dispatcher = dispatcher;
     this.endpoints = endpoints;
     this.mapper = mapper;
     this.loop = loop;
@@ -67,49 +67,49 @@
     this.pulls = pulls;
   }
 
-  void items(List<ItemWork> arrived) {
-    List<BatchItem> fresh = new ArrayList<>();
-    for (ItemWork work : arrived) {
-      if (works.putIfAbsent(work.batch().ref(), work) == null) {
-        fresh.add(work.batch());
+  void onItems(List<LoadedItem> arrived) {
+    List<BatchItem> added = new ArrayList<>();
+    for (LoadedItem loaded : arrived) {
+      if (inProgress.putIfAbsent(loaded.batch().ref(), loaded) == null) {
+        added.add(loaded.batch());
       }
     }
-    perform(steward.onItems(fresh, clock.instant()));
+    perform(dispatcher.onItems(added, clock.instant()));
   }
 
-  void online(InstanceId entry, int inFlight) {
-    perform(steward.onOnline(entry, inFlight, clock.instant()));
+  void onOnline(InstanceId entry, int inFlight) {
+    perform(dispatcher.onOnline(entry, inFlight, clock.instant()));
   }
 
-  void load(LoadReport report) {
-    perform(steward.onLoad(report, clock.instant()));
+  void onLoad(LoadReport report) {
+    perform(dispatcher.onLoad(report, clock.instant()));
   }
 
-  /** Returns how many batch items the endpoint executed at a time. */
+  /** Returns the number of batch items that the endpoint executed at a time. */
   int batchAt(Instant time) {
-    return steward.batchAt(time);
+    return dispatcher.batchAt(time);
   }
 
   void tick() {
-    perform(steward.onTick(clock.instant()));
+    perform(dispatcher.onTick(clock.instant()));
   }
 
   void stop() {
-    perform(steward.onStop(clock.instant()));
+    perform(dispatcher.onStop(clock.instant()));
   }
 
   Set<ItemRef> inProgress() {
-    return works.keySet();
+    return inProgress.keySet();
   }
 
-  /** Ends an item whose job was cancelled. */
-  void cancelled(ItemRef ref) {
+  /** Cancels an item whose job was cancelled. */
+  void cancel(ItemRef ref) {
     ItemExecution execution = running.remove(ref);
     if (execution != null) {
       execution.cancel();
     }
-    if (works.remove(ref) != null) {
-      perform(steward.onEnded(ref, BatchOutcome.CANCELLED, 0, clock.instant()));
+    if (inProgress.remove(ref) != null) {
+      perform(dispatcher.onEnded(ref, BatchOutcome.CANCELLED, 0, clock.instant()));
     }
   }
 
@@ -121,40 +121,41 @@
         preempt(cancel.item());
       } else if (effect instanceof PullItems pull) {
         pulls.accept(pull);
-      } else if (effect instanceof ReturnItems back) {
-        back.items().forEach(this::giveBack);
+      } else if (effect instanceof ReturnItems returned) {
+        returned.items().forEach(this::returnToHolder);
       } else {
-        throw new IllegalArgumentException("no adapter carries out " + effect + "; add one");
+        throw new IllegalArgumentException("unsupported effect " + effect);
       }
     }
   }
 
   private void start(StartItem start) {
     ItemRef ref = start.item().ref();
-    ItemWork work = works.get(ref);
-    if (work == null) {
-      loop.execute(() -> perform(steward.onEnded(ref, BatchOutcome.CANCELLED, 0, clock.instant())));
+    LoadedItem loaded = inProgress.get(ref);
+    if (loaded == null) {
+      loop.execute(
+          () -> perform(dispatcher.onEnded(ref, BatchOutcome.CANCELLED, 0, clock.instant())));
       return;
     }
-    Verdict verdict = suspects.judge(work.fingerprint(), endpoint);
+    Verdict verdict = suspects.judge(loaded.fingerprint(), endpoint);
     if (verdict instanceof Verdict.Refused refused) {
-      later(ref, FailureKind.PERMANENT, refused.refusal().detail());
+      endLater(ref, FailureKind.PERMANENT, refused.refusal().detail());
     } else if (verdict instanceof Verdict.Clear) {
-      execute(ref, work, start.item().keptAt().filter(endpoint::equals).isPresent());
+      startExecution(ref, loaded, start.item().keptAt().filter(endpoint::equals).isPresent());
     } else if (verdict instanceof Verdict.Alone alone && alone.endpoint().equals(endpoint)) {
-      suspects.startedAlone(work.fingerprint(), endpoint);
-      execute(ref, work, false);
+      suspects.startedAlone(loaded.fingerprint(), endpoint);
+      startExecution(ref, loaded, false);
     } else {
-      later(ref, FailureKind.NOT_RUN, "the item runs alone elsewhere");
+      endLater(ref, FailureKind.NOT_RUN, "the item runs alone at another endpoint");
     }
   }
 
-  private void execute(ItemRef ref, ItemWork work, boolean resume) {
+  private void startExecution(ItemRef ref, LoadedItem loaded, boolean resume) {
     running.put(
-        ref, new ItemExecution(endpoints, mapper, address, work, resume, new Listener(ref)));
+        ref, new ItemExecution(endpoints, mapper, address, loaded, resume, new Listener(ref)));
   }
 
-  private void later(ItemRef ref, FailureKind kind, String cause) {
+  private void endLater(ItemRef ref, FailureKind kind, String cause) {
     loop.execute(() -> end(ref, kind, cause));
   }
 
@@ -164,30 +165,30 @@
       return;
     }
     execution.cancel();
-    ItemWork work = works.get(ref);
-    if (work != null) {
-      suspects.left(work.fingerprint(), endpoint);
+    LoadedItem loaded = inProgress.get(ref);
+    if (loaded != null) {
+      suspects.aloneEnded(loaded.fingerprint(), endpoint);
     }
     int kept = execution.tokens();
     loop.execute(
-        () -> perform(steward.onEnded(ref, BatchOutcome.PREEMPTED, kept, clock.instant())));
+        () -> perform(dispatcher.onEnded(ref, BatchOutcome.PREEMPTED, kept, clock.instant())));
   }
 
-  private void giveBack(BatchItem item) {
-    ItemWork work = works.remove(item.ref());
-    if (work != null) {
-      reports.failed(work, FailureKind.NOT_RUN, "handed back");
+  private void returnToHolder(BatchItem item) {
+    LoadedItem loaded = inProgress.remove(item.ref());
+    if (loaded != null) {
+      reports.failed(loaded, FailureKind.NOT_RUN, "the dispatcher returned the item");
     }
   }
 
   private void done(ItemRef ref, String result, int tokens) {
     running.remove(ref);
-    ItemWork work = works.remove(ref);
-    if (work != null) {
-      suspects.succeeded(work.fingerprint(), endpoint);
-      reports.finished(work, result);
+    LoadedItem loaded = inProgress.remove(ref);
+    if (loaded != null) {
+      suspects.aloneSucceeded(loaded.fingerprint(), endpoint);
+      reports.finished(loaded, result);
     }
-    perform(steward.onEnded(ref, BatchOutcome.DONE, tokens, clock.instant()));
+    perform(dispatcher.onEnded(ref, BatchOutcome.DONE, tokens, clock.instant()));
   }
 
   private void failed(ItemRef ref, Throwable error) {
@@ -197,10 +198,10 @@
     EndpointFault fault =
         error instanceof EndpointCallException call ? call.fault() : EndpointFault.UNREADABLE;
     if (fault == EndpointFault.BROKEN) {
-      List<ItemWork> beside = running.keySet().stream().map(works::get).toList();
-      suspects.broken(endpoint, address, works.get(ref), beside);
-    } else if (works.containsKey(ref)) {
-      suspects.left(works.get(ref).fingerprint(), endpoint);
+      List<LoadedItem> others = running.keySet().stream().map(inProgress::get).toList();
+      suspects.connectionBroken(endpoint, address, inProgress.get(ref), others);
+    } else if (inProgress.containsKey(ref)) {
+      suspects.aloneEnded(inProgress.get(ref).fingerprint(), endpoint);
     }
     FailureKind kind =
         switch (fault) {
@@ -212,13 +213,13 @@
   }
 
   private void end(ItemRef ref, FailureKind kind, String cause) {
-    ItemWork work = works.remove(ref);
-    if (work != null) {
-      reports.failed(work, kind, cause);
+    LoadedItem loaded = inProgress.remove(ref);
+    if (loaded != null) {
+      reports.failed(loaded, kind, cause);
     }
     BatchOutcome outcome =
         kind == FailureKind.PERMANENT ? BatchOutcome.DONE : BatchOutcome.ENDPOINT_FAILED;
-    perform(steward.onEnded(ref, outcome, 0, clock.instant()));
+    perform(dispatcher.onEnded(ref, outcome, 0, clock.instant()));
   }
 
   private final class Listener implements ItemListener {
@@ -234,19 +235,19 @@
       loop.execute(
           () -> {
             if (running.containsKey(ref)) {
-              perform(steward.onProgress(ref, tokens, clock.instant()));
+              perform(dispatcher.onProgress(ref, tokens, clock.instant()));
             }
           });
     }
 
     @Override
     public void done(String result, int tokens) {
-      loop.execute(() -> StewardHost.this.done(ref, result, tokens));
+      loop.execute(() -> DispatcherRunner.this.done(ref, result, tokens));
     }
 
     @Override
     public void failed(Throwable error) {
-      loop.execute(() -> StewardHost.this.failed(ref, error));
+      loop.execute(() -> DispatcherRunner.this.failed(ref, error));
     }
   }
 }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/batch/ItemExecution.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/batch/ItemExecution.java
@@ -17,95 +17,103 @@
 import reactor.core.publisher.Flux;
 
 /**
- * One execution of an item at an endpoint, as a stream, so that it can be cut short and resumed.
+ * One execution of an item at an endpoint. The answer is streamed, so that an execution can be
+ * cancelled and resumed.
  */
 final class ItemExecution {
 
-  private static final Duration SILENCE = Duration.ofSeconds(30);
+  private static final Duration IDLE_TIMEOUT = Duration.ofSeconds(30);
 
   private final EndpointClient endpoints;
   private final ObjectMapper mapper;
   private final String address;
-  private final ItemWork work;
+  private final LoadedItem loaded;
   private final ItemListener listener;
   private final Disposable subscription;
   private volatile int tokens;
 
-  /** Starts the execution, resumed where the endpoint has kept a part of it. */
+  /**
+   * Starts the execution.
+   *
+   * @param resume whether to resume a stream that the endpoint may have kept from an earlier
+   *     execution; the execution starts over if the endpoint cannot resume it
+   */
   ItemExecution(
       EndpointClient endpoints,
       ObjectMapper mapper,
       String address,
-      ItemWork work,
+      LoadedItem loaded,
       boolean resume,
       ItemListener listener) {
     this.endpoints = endpoints;
     this.mapper = mapper;
     this.address = address;
-    this.work = work;
+    this.loaded = loaded;
     this.listener = listener;
     StreamedAnswer answer = new StreamedAnswer(mapper);
-    Flux<String> events = resume ? resumed() : anew();
+    Flux<String> events = resume ? resumeStream() : startStream();
     this.subscription =
-        events.subscribe(data -> progress(answer, data), listener::failed, () -> ended(answer));
+        events.subscribe(
+            data -> onEvent(answer, data), listener::failed, () -> onStreamEnd(answer));
   }
 
-  /** Returns the number of tokens so far. */
+  /** Returns the number of tokens received so far. */
   int tokens() {
     return tokens;
   }
 
-  /** Cuts the execution short; the endpoint keeps what it has generated. */
+  /** Cancels the execution. The endpoint keeps the tokens that it has generated. */
   void cancel() {
-    EngineStreams.cancel(endpoints, address, work.requestId());
+    EngineStreams.cancel(endpoints, address, loaded.requestId());
     subscription.dispose();
   }
 
-  private void progress(StreamedAnswer answer, String data) {
-    answer.event(data);
+  private void onEvent(StreamedAnswer answer, String data) {
+    answer.add(data);
     tokens = answer.tokens();
     listener.progressed(tokens);
   }
 
-  private void ended(StreamedAnswer answer) {
-    if (answer.whole()) {
+  private void onStreamEnd(StreamedAnswer answer) {
+    if (answer.complete()) {
       listener.done(answer.json(), answer.tokens());
     } else {
       listener.failed(
-          new EndpointCallException(EndpointFault.BROKEN, "the stream ended early", null));
+          new EndpointCallException(
+              EndpointFault.BROKEN, "the stream ended before its end marker", null));
     }
   }
 
-  private Flux<String> resumed() {
-    EndpointCall call = EngineStreams.resume(address, work.requestId(), 0, TrafficKind.BATCH);
+  private Flux<String> resumeStream() {
+    EndpointCall call = EngineStreams.resume(address, loaded.requestId(), 0, TrafficKind.BATCH);
     return endpoints
-        .events(call, SILENCE)
+        .events(call, IDLE_TIMEOUT)
         .onErrorResume(
             EndpointCallException.class,
-            error -> error.fault() == EndpointFault.UNREADABLE ? anew() : Flux.error(error));
+            error -> error.fault() == EndpointFault.UNREADABLE ? startStream() : Flux.error(error));
   }
 
-  private Flux<String> anew() {
+  private Flux<String> startStream() {
     EndpointCall call =
         new EndpointCall(
             address,
             "POST",
-            work.content().url(),
+            loaded.content().url(),
             List.of(
-                new HeaderField(EndpointCall.REQUEST_ID_HEADER, work.requestId()),
+                new HeaderField(EndpointCall.REQUEST_ID_HEADER, loaded.requestId()),
                 new HeaderField("Content-Type", "application/json")),
             streamedBody(),
             TrafficKind.BATCH);
-    return endpoints.events(call, SILENCE);
+    return endpoints.events(call, IDLE_TIMEOUT);
   }
 
   private byte[] streamedBody() {
     try {
-      ObjectNode body = (ObjectNode) mapper.readTree(work.content().body());
+      ObjectNode body = (ObjectNode) mapper.readTree(loaded.content().body());
       body.put("stream", true);
       return body.toString().getBytes(StandardCharsets.UTF_8);
     } catch (JsonProcessingException e) {
-      throw new IllegalArgumentException("the body of an accepted item is no JSON", e);
+      throw new IllegalArgumentException("the body of an accepted item is not valid JSON", e);
     }
   }
 }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/batch/ItemListener.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/batch/ItemListener.java
@@ -1,14 +1,17 @@
 package io.hawthornlb.app.batch;
 
-/** Hears of one execution of an item; called on threads of the client. */
+/**
+ * Receives the progress and the outcome of one execution of an item. Called on threads of the
+ * endpoint client.
+ */
 interface ItemListener {
 
-  /** Takes the number of tokens so far. */
+  /** Called with the number of tokens received so far. */
   void progressed(int tokens);
 
-  /** Takes the whole answer. */
+  /** Called with the complete answer. */
   void done(String result, int tokens);
 
-  /** Takes the failure that ended the execution. */
+  /** Called with the failure that ended the execution. */
   void failed(Throwable error);
 }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/batch/ItemLoader.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/batch/ItemLoader.java
@@ -20,24 +20,24 @@
 import reactor.core.publisher.Flux;
 import reactor.core.publisher.Mono;
 
-/** Reads the content of dispatched items from the log, a few chunks kept at hand. */
+/** Reads the content of dispatched items from the log, and caches the last eight chunks read. */
 final class ItemLoader {
 
-  private static final int KEPT_CHUNKS = 8;
+  private static final int CACHED_CHUNKS = 8;
   private static final int DEFAULT_MAX_TOKENS = 256;
-  private static final int CHARACTERS_A_TOKEN = 4;
+  private static final int CHARACTERS_PER_TOKEN = 4;
 
   private record ChunkKey(StreamName stream, long offset) {}
 
   private final LogAccess log;
   private final ObjectMapper mapper;
-  private final Map<ChunkKey, JobChunk> kept =
+  private final Map<ChunkKey, JobChunk> cache =
       new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<ChunkKey, JobChunk> eldest) {
-          return size() > KEPT_CHUNKS;
+          return size() > CACHED_CHUNKS;
         }
       };
 
@@ -46,50 +46,52 @@
     this.mapper = mapper;
   }
 
-  /** Returns the items with their content; fails if a chunk can't be read. */
-  Mono<List<ItemWork>> load(ItemsDispatched message) {
+  /** Returns the items with their content. Fails if a chunk cannot be read. */
+  Mono<List<LoadedItem>> load(ItemsDispatched message) {
     StreamName stream = StreamName.ofPartition(message.partition());
     return Flux.fromIterable(message.items())
         .concatMap(
-            item -> chunk(stream, item.location().chunkOffset()).map(chunk -> work(item, chunk)))
+            item ->
+                chunk(stream, item.location().chunkOffset())
+                    .map(chunk -> toLoadedItem(item, chunk)))
         .collectList();
   }
 
   private Mono<JobChunk> chunk(StreamName stream, long offset) {
     ChunkKey key = new ChunkKey(stream, offset);
-    JobChunk known = find(key);
-    if (known != null) {
-      return Mono.just(known);
+    JobChunk cached = findCached(key);
+    if (cached != null) {
+      return Mono.just(cached);
     }
     return Mono.fromCompletionStage(() -> log.client().read(stream, offset, 1, Duration.ZERO))
         .map(page -> log.codec().decode(page.records().get(0)))
         .map(LogRecord::body)
         .cast(JobChunk.class)
-        .doOnNext(chunk -> keep(key, chunk));
+        .doOnNext(chunk -> addToCache(key, chunk));
   }
 
-  private synchronized JobChunk find(ChunkKey key) {
-    return kept.get(key);
+  private synchronized JobChunk findCached(ChunkKey key) {
+    return cache.get(key);
   }
 
-  private synchronized void keep(ChunkKey key, JobChunk chunk) {
-    kept.put(key, chunk);
+  private synchronized void addToCache(ChunkKey key, JobChunk chunk) {
+    cache.put(key, chunk);
   }
 
-  private ItemWork work(ItemDispatch dispatch, JobChunk chunk) {
+  private LoadedItem toLoadedItem(ItemDispatch dispatch, JobChunk chunk) {
     JobItem content = chunk.items().get(dispatch.location().position());
     BatchItem batch =
         new BatchItem(
             new ItemRef(dispatch.job(), dispatch.location().index()),
             dispatch.submittedAt(),
             dispatch.due(),
-            content.body().length() / CHARACTERS_A_TOKEN,
+            content.body().length() / CHARACTERS_PER_TOKEN,
             maxTokens(content),
             0,
             Optional.empty(),
             dispatch.remaining());
-    return new ItemWork(
-        dispatch, content, batch, ItemWork.fingerprint(chunk.service().value(), content));
+    return new LoadedItem(
+        dispatch, content, batch, LoadedItem.fingerprint(chunk.service().value(), content));
   }
 
   private int maxTokens(JobItem content) {
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/batch/ReportDesk.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/batch/ItemReporter.java
@@ -23,52 +23,55 @@
 import java.util.TreeMap;
 
 /**
- * Keeps each report on an item until its holder says that it is durable; used on the loop.
+ * Sends reports on items to the holders of their partitions, and keeps each report until the holder
+ * confirms that it is durable. Used on the decision loop.
  *
- * <p>A holder that dies with reports in memory would otherwise take results with it, and the items
- * would run again.
+ * <p>If reports were not kept, a holder that crashes with reports only in memory would lose
+ * results, and the items would run again.
  */
-final class ReportDesk {
+final class ItemReporter {
 
   private final InstanceId self;
   private final ClaimView claims;
   private final EffectSink effects;
   private final Map<ItemKey, PeerMessage> unsettled = new LinkedHashMap<>();
-  private final Set<InstanceId> named = new HashSet<>();
+  private final Set<InstanceId> lastListed = new HashSet<>();
 
-  ReportDesk(InstanceId self, ClaimView claims, EffectSink effects) {
+  ItemReporter(InstanceId self, ClaimView claims, EffectSink effects) {
     this.self = self;
     this.claims = claims;
     this.effects = effects;
   }
 
-  void finished(ItemWork work, String result) {
-    keep(work.key(), new ItemFinished(self, work.key(), work.content().customId(), result));
+  void finished(LoadedItem loaded, String result) {
+    keep(loaded.key(), new ItemFinished(self, loaded.key(), loaded.content().customId(), result));
   }
 
-  void failed(ItemWork work, FailureKind kind, String cause) {
-    keep(work.key(), new ItemFailed(self, work.key(), work.content().customId(), kind, cause));
+  void failed(LoadedItem loaded, FailureKind kind, String cause) {
+    keep(
+        loaded.key(), new ItemFailed(self, loaded.key(), loaded.content().customId(), kind, cause));
   }
 
-  void forget(ItemsSettled message) {
+  void onSettled(ItemsSettled message) {
     message.items().forEach(index -> unsettled.remove(new ItemKey(message.job(), index)));
   }
 
   /**
-   * Sends reports again, and names to each holder what is in progress; once a second.
+   * Resends the reports that are not durable yet, and sends each holder the list of items in
+   * progress, including those whose report is not durable yet. Call this method once a second.
    *
-   * <p>A holder takes one message for all of its partitions: what is not named twice in a row it
-   * gives out anew. One message a partition would tell it each time that the items of its other
-   * partitions are gone, and they would run again.
+   * <p>Each holder receives one list for all of its partitions. The holder dispatches again any
+   * item that two consecutive lists omit. With one list for each partition, every list would omit
+   * the items of the other partitions, and those items would run again.
    */
-  void repeat(Collection<ItemKey> inProgress) {
+  void resend(Collection<ItemKey> inProgress) {
     unsettled.forEach(this::send);
     Map<InstanceId, Set<ItemKey>> byHolder = new TreeMap<>();
-    named.forEach(holder -> byHolder.put(holder, new HashSet<>()));
+    lastListed.forEach(holder -> byHolder.put(holder, new HashSet<>()));
     inProgress.forEach(key -> add(byHolder, key));
     unsettled.keySet().forEach(key -> add(byHolder, key));
-    named.clear();
-    byHolder.forEach(this::name);
+    lastListed.clear();
+    byHolder.forEach(this::sendList);
   }
 
   /** Returns whether every report is durable. */
@@ -81,9 +84,9 @@
     send(key, message);
   }
 
-  private void name(InstanceId holder, Set<ItemKey> keys) {
+  private void sendList(InstanceId holder, Set<ItemKey> keys) {
     if (!keys.isEmpty()) {
-      named.add(holder);
+      lastListed.add(holder);
     }
     ItemsHeld message = new ItemsHeld(self, List.copyOf(keys));
     effects.perform(List.of(new SendPeerMessage(holder, message)));
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/batch/ItemWork.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/batch/LoadedItem.java
@@ -8,14 +8,15 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * An item that this instance has in progress.
+ * An item assigned to this instance, with its content read from the log.
  *
- * @param dispatch what its holder said
- * @param content the item as the caller gave it
- * @param batch the item as its steward sees it
- * @param fingerprint the same for every execution of the same content
+ * @param dispatch the assignment as the holder of the partition sent it
+ * @param content the item as the caller submitted it
+ * @param batch the item in the form that the batch dispatcher uses
+ * @param fingerprint the fingerprint of the content; the same for every execution of that content
  */
-record ItemWork(ItemDispatch dispatch, JobItem content, BatchItem batch, Fingerprint fingerprint) {
+record LoadedItem(
+    ItemDispatch dispatch, JobItem content, BatchItem batch, Fingerprint fingerprint) {
 
   static Fingerprint fingerprint(String service, JobItem item) {
     return Fingerprint.of(service, item.body().getBytes(StandardCharsets.UTF_8));
@@ -25,7 +26,10 @@
     return new ItemKey(dispatch.job(), dispatch.location().index());
   }
 
-  /** Returns the id under which endpoints know the execution; the same for every one of them. */
+  /**
+   * Returns the request id that is sent to endpoints. Every execution of the item has the same id,
+   * so that an endpoint can resume an earlier execution.
+   */
   String requestId() {
     return dispatch.job().value() + "." + dispatch.location().index();
   }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/batch/StreamedAnswer.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/batch/StreamedAnswer.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
-/** Puts the events of a token stream together to the whole answer. */
+/** Assembles the complete answer from the events of a token stream. */
 final class StreamedAnswer {
 
   private static final String END_MARKER = "[DONE]";
@@ -18,37 +18,37 @@
   private String finishReason = "";
   private JsonNode usage;
   private int tokens;
-  private boolean whole;
+  private boolean complete;
 
   StreamedAnswer(ObjectMapper mapper) {
     this.mapper = mapper;
     this.usage = mapper.nullNode();
   }
 
-  /** Takes an event that came next in the stream. */
-  void event(String data) {
+  /** Adds the next event of the stream. */
+  void add(String data) {
     if (END_MARKER.equals(data)) {
-      whole = true;
+      complete = true;
       return;
     }
     try {
-      take(mapper.readTree(data));
+      addChunk(mapper.readTree(data));
     } catch (JsonProcessingException e) {
-      throw new IllegalArgumentException("the endpoint sent an event that is no JSON", e);
+      throw new IllegalArgumentException("the endpoint sent an event that is not valid JSON", e);
     }
   }
 
-  /** Returns the number of tokens so far. */
+  /** Returns the number of tokens received so far. */
   int tokens() {
     return tokens;
   }
 
-  /** Returns whether the end marker came. */
-  boolean whole() {
-    return whole;
+  /** Returns whether the end marker has been received. */
+  boolean complete() {
+    return complete;
   }
 
-  /** Returns the whole answer in the shape of one that was not streamed. */
+  /** Returns the complete answer in the format of an answer that was not streamed. */
   String json() {
     ObjectNode root = mapper.createObjectNode();
     root.put("id", id).put("object", "chat.completion").put("model", model);
@@ -59,7 +59,7 @@
     return root.toString();
   }
 
-  private void take(JsonNode chunk) {
+  private void addChunk(JsonNode chunk) {
     id = chunk.path("id").asText(id);
     model = chunk.path("model").asText(model);
     JsonNode choice = chunk.path("choices").path(0);
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/batch/package-info.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/batch/package-info.java
@@ -1,4 +1,4 @@
-/** Executes items of jobs at the endpoints whose steward this instance is. */
+/** Executes items of jobs at the endpoints for which this instance is the dispatcher. */
 @NullMarked
 package io.hawthornlb.app.batch;
 
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/EndpointWatch.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/EndpointWatch.java
@@ -65,7 +65,7 @@
   /** Asks endpoints for reports, and for their health where a probe is due; on the loop. */
   void poll() {
     List<Endpoint> stewarded = stewarded();
-    batch.stewarding(stewarded);
+    batch.dispatchTo(stewarded);
     monitor.poll(stewarded);
     monitor.probe(policies.endpoints().probesDue(clock.instant()));
   }
@@ -73,7 +73,7 @@
   /** Tells the steward of an endpoint how many requests of this entry are in flight there. */
   void tellSteward(EndpointId endpoint) {
     int inFlight = policies.inFlight().own(endpoint);
-    batch.online(endpoint, inFlight);
+    batch.onOwnRequests(endpoint, inFlight);
     policies
         .endpoints()
         .find(endpoint)
@@ -107,7 +107,7 @@
 
   @Override
   public void loaded(EndpointId endpoint, LoadReport report) {
-    LoadReport completed = batch.completed(endpoint, report);
+    LoadReport completed = batch.completeReport(endpoint, report);
     policies.endpoints().onLoad(endpoint, completed, clock.instant());
     if (worthTelling(endpoint, completed)) {
       peers.spread(new LoadNotice(endpoint, completed), SpreadScope.FLEET);
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/EntryProcess.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/EntryProcess.java
@@ -225,7 +225,7 @@
     loop.every(RUN_ONCE_TICK, partitions.hosts()::tickRunOnce);
     loop.every(TICK, batch::tick);
     loop.every(CONTROL_TICK, batch::sendBacklogs);
-    loop.every(REPORT_PAUSE, batch::repeatReports);
+    loop.every(REPORT_PAUSE, batch::resendReports);
     loop.every(CONTROL_TICK, exchange::sendInFlight);
     loop.every(DEMAND_PAUSE, exchange::sendDemand);
     loop.every(CONTROL_TICK, control::tick);
@@ -243,7 +243,7 @@
     fleet.update(list.processes());
     before.stream()
         .filter(entry -> !fleet.entries().containsKey(entry))
-        .forEach(partitions.hosts()::stewardLost);
+        .forEach(partitions.hosts()::dispatcherLost);
     peers.update(list.processes());
     policies.shares().onEntries(fleet.entries(), now);
     control.onListed(fleet.entries().keySet());
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/MessageHandlers.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/MessageHandlers.java
@@ -13,7 +13,7 @@
   private MessageHandlers() {}
 
   /** Returns a handler that hands each message to a consumer. */
-  public static <M extends PeerMessage> PeerHandler<M> heard(Consumer<M> consumer) {
+  public static <M extends PeerMessage> PeerHandler<M> oneWay(Consumer<M> consumer) {
     return new PeerHandler<>() {
       @Override
       public CompletionStage<PeerMessage> handle(InstanceId sender, M message) {
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/PolicyExchange.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/PolicyExchange.java
@@ -1,6 +1,6 @@
 package io.hawthornlb.app.entry;
 
-import static io.hawthornlb.app.entry.MessageHandlers.heard;
+import static io.hawthornlb.app.entry.MessageHandlers.oneWay;
 
 import io.hawthornlb.core.admission.DemandDigest;
 import io.hawthornlb.core.effect.SpreadScope;
@@ -30,30 +30,30 @@
     builder
         .register(
             EndpointNotice.class,
-            heard(notice -> policies.endpoints().onNotice(notice, clock.instant())))
+            oneWay(notice -> policies.endpoints().onNotice(notice, clock.instant())))
         .register(
             InFlightDigest.class,
-            heard(digest -> policies.inFlight().onDigest(digest, clock.instant())))
+            oneWay(digest -> policies.inFlight().onDigest(digest, clock.instant())))
         .register(
             DemandDigest.class,
-            heard(digest -> policies.shares().onDigest(digest, clock.instant())))
+            oneWay(digest -> policies.shares().onDigest(digest, clock.instant())))
         .register(
             CrashNotice.class,
-            heard(notice -> policies.suspects().onNotice(notice, clock.instant())))
+            oneWay(notice -> policies.suspects().onNotice(notice, clock.instant())))
         .register(
             ClearNotice.class,
-            heard(notice -> policies.suspects().onClear(notice, clock.instant())))
-        .register(QuarantineNotice.class, heard(this::quarantine))
+            oneWay(notice -> policies.suspects().onClear(notice, clock.instant())))
+        .register(QuarantineNotice.class, oneWay(this::quarantine))
         .register(
             LoadNotice.class,
-            heard(
+            oneWay(
                 notice ->
                     policies
                         .endpoints()
                         .onLoad(notice.endpoint(), notice.report(), clock.instant())))
         .register(
             CacheNotice.class,
-            heard(
+            oneWay(
                 notice ->
                     policies
                         .prefixes()
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/partition/CallRunner.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/partition/CallRunner.java
@@ -19,7 +19,7 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** Makes the call of a run-once request whose intent is durable. */
+/** Calls the service for a run-once request once the intent of the request is durable. */
 final class CallRunner {
 
   private final PlainService plain;
@@ -32,7 +32,7 @@
     this.loop = loop;
   }
 
-  /** Makes the call and hands exactly one event over on the loop. */
+  /** Calls the service and passes exactly one event to {@code outcome} on the decision loop. */
   void run(RunCall run, Consumer<RunOnceEvent> outcome) {
     Optional<PlainCall> call = call(run.request());
     if (call.isEmpty()) {
@@ -44,18 +44,18 @@
         .call(call.get())
         .subscribe(
             answer ->
-                hand(
+                deliver(
                     outcome,
                     new CallAnswered(
                         run.request().key(), run.attempt(), ServiceBodies.result(answer))),
-            error -> hand(outcome, failed(run, error)));
+            error -> deliver(outcome, failureEvent(run, error)));
   }
 
-  private void hand(Consumer<RunOnceEvent> outcome, RunOnceEvent event) {
+  private void deliver(Consumer<RunOnceEvent> outcome, RunOnceEvent event) {
     loop.execute(() -> outcome.accept(event));
   }
 
-  private static RunOnceEvent failed(RunCall run, Throwable error) {
+  private static RunOnceEvent failureEvent(RunCall run, Throwable error) {
     if (error instanceof RefusalException refused && refused.refusal().run() == RunStatus.NOT_RUN) {
       return new CallNotStarted(run.request().key(), run.attempt(), refused.refusal().reason());
     }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/partition/JobReader.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/partition/JobReader.java
@@ -23,12 +23,15 @@
 import reactor.core.publisher.Mono;
 import reactor.core.publisher.MonoSink;
 
-/** Reads status and results of jobs from the streams of their partitions, on any entry. */
+/**
+ * Reads the status and the results of jobs from the streams of their partitions. Works on any entry
+ * instance, whether or not the instance holds the partition.
+ */
 public final class JobReader {
 
-  private static final Duration PATIENCE = Duration.ofSeconds(5);
-  private static final Duration LOOK_AGAIN = Duration.ofMillis(50);
-  private static final Duration COME_BACK = Duration.ofSeconds(2);
+  private static final Duration READ_TIMEOUT = Duration.ofSeconds(5);
+  private static final Duration POLL_INTERVAL = Duration.ofMillis(50);
+  private static final Duration RETRY_AFTER = Duration.ofSeconds(2);
 
   private final PartitionHosts hosts;
   private final RecordReader records;
@@ -52,10 +55,10 @@
       return Mono.error(new RefusalException(notFound()));
     }
     Instant asked = clock.instant();
-    return loop.ask(sink -> look(workspace, job, partition.get(), asked, sink));
+    return loop.ask(sink -> pollStatus(workspace, job, partition.get(), asked, sink));
   }
 
-  /** Returns outcomes from a cursor on, with the cursor of the next page. */
+  /** Returns the outcomes from a cursor on, and the cursor of the next page. */
   public Mono<Page> results(JobStatus status, int cursor, int spans) {
     JobId job = status.header().id();
     PartitionId partition = JobIds.partition(job);
@@ -90,7 +93,7 @@
             error -> new RefusalException(unreadable()));
   }
 
-  private void look(
+  private void pollStatus(
       WorkspaceId workspace,
       JobId job,
       PartitionId partition,
@@ -104,10 +107,10 @@
       sink.success(status.get());
     } else if (host.isPresent() && host.get().knowsAllBefore(asked)) {
       sink.error(new RefusalException(notFound()));
-    } else if (clock.instant().isAfter(asked.plus(PATIENCE))) {
+    } else if (clock.instant().isAfter(asked.plus(READ_TIMEOUT))) {
       sink.error(new RefusalException(unreadable()));
     } else {
-      loop.after(LOOK_AGAIN, () -> look(workspace, job, partition, asked, sink));
+      loop.after(POLL_INTERVAL, () -> pollStatus(workspace, job, partition, asked, sink));
     }
   }
 
@@ -124,15 +127,15 @@
   }
 
   private static Refusal unreadable() {
-    return Refusal.mayHaveRun(RefusalReason.NOT_DURABLE, "the log cannot be read now")
-        .retryAfter(COME_BACK);
+    return Refusal.mayHaveRun(RefusalReason.NOT_DURABLE, "the log cannot be read at the moment")
+        .retryAfter(RETRY_AFTER);
   }
 
   /**
-   * Outcomes of a job.
+   * One page of outcomes of a job.
    *
-   * @param outcomes in the order in which they were stored
-   * @param next the cursor of the next page, if there is one
+   * @param outcomes the outcomes in the order in which they were stored
+   * @param next the cursor of the next page; empty on the last page
    */
   public record Page(List<ItemOutcome> outcomes, Optional<Integer> next) {
 
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/partition/JobService.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/partition/JobService.java
@@ -27,15 +27,15 @@
 import reactor.core.publisher.Flux;
 import reactor.core.publisher.Mono;
 
-/** Takes submissions and cancellations of jobs to the holders of their partitions. */
+/** Sends submissions and cancellations of jobs to the holders of their partitions. */
 public final class JobService {
 
-  private static final Duration APPEND_PATIENCE = Duration.ofSeconds(15);
-  private static final Duration COME_BACK = Duration.ofSeconds(5);
+  private static final Duration APPEND_TIMEOUT = Duration.ofSeconds(15);
+  private static final Duration RETRY_AFTER = Duration.ofSeconds(5);
 
   private final InstanceId self;
   private final PartitionContext context;
-  private final JobQuestionDesk desk;
+  private final JobHolderClient holderClient;
   private final ObjectMapper mapper;
   private final int partitions;
 
@@ -43,21 +43,22 @@
   public JobService(
       InstanceId self,
       PartitionContext context,
-      JobQuestionDesk desk,
+      JobHolderClient holderClient,
       ObjectMapper mapper,
       int partitions) {
     this.self = self;
     this.context = context;
-    this.desk = desk;
+    this.holderClient = holderClient;
     this.mapper = mapper;
     this.partitions = partitions;
   }
 
   /**
-   * Stores the items of a job and returns its id once it is durable.
+   * Stores the items of a job and returns the id of the job once the job is durable.
    *
-   * <p>Items are stored while they arrive. They decide nothing until the job is accepted, so a
-   * submission that is refused or breaks off leaves nothing behind but records that expire.
+   * <p>Items are stored in the log while they arrive. Stored items have no effect until the holder
+   * accepts the job. A submission that is refused or breaks off therefore leaves only records that
+   * expire.
    */
   public Mono<JobId> submit(
       WorkspaceId workspace,
@@ -85,9 +86,9 @@
                         () -> header(workspace, key, due, catalogue, submission, upload))));
   }
 
-  /** Cancels a job and returns the answer of its holder. */
+  /** Cancels a job and returns the answer of the holder of its partition. */
   public Mono<JobAnswer> cancel(WorkspaceId workspace, JobId job) {
-    return desk.ask(JobIds.partition(job), id -> new CancelJob(self, id, workspace, job));
+    return holderClient.ask(JobIds.partition(job), id -> new CancelJob(self, id, workspace, job));
   }
 
   private Mono<Long> store(JobChunk chunk) {
@@ -98,7 +99,7 @@
         .<AppendRecord>ask(
             sink -> sink.success(new AppendRecord(stream, context.ids().next(), chunk)))
         .flatMap(effect -> Mono.fromCompletionStage(() -> log.append(effect)))
-        .timeout(APPEND_PATIENCE)
+        .timeout(APPEND_TIMEOUT)
         .onErrorMap(error -> new RefusalException(notDurable()));
   }
 
@@ -112,8 +113,8 @@
                   .withFindings(upload.findings())));
     }
     JobHeader accepted = header.get();
-    return desk.ask(
-            JobIds.partition(accepted.id()), id -> new SubmitJob(self, id, accepted, firstSend))
+    return holderClient
+        .ask(JobIds.partition(accepted.id()), id -> new SubmitJob(self, id, accepted, firstSend))
         .map(JobAnswer::job);
   }
 
@@ -148,7 +149,7 @@
 
   private static Refusal notDurable() {
     return Refusal.notRun(
-            RefusalReason.NOT_DURABLE, "the log takes no items now; send the job again")
-        .retryAfter(COME_BACK);
+            RefusalReason.NOT_DURABLE, "the log accepts no items at the moment; send the job again")
+        .retryAfter(RETRY_AFTER);
   }
 }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/partition/JobUpload.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/partition/JobUpload.java
@@ -21,18 +21,19 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Reads the lines of one submission and cuts them into chunks.
+ * Parses the lines of one submission and groups the items into chunks.
  *
- * <p>Memory is bounded by one chunk and eight bytes an item, whatever the size of the job.
+ * <p>Memory use is bounded by one chunk plus eight bytes for each item, since an upload keeps a
+ * 64-bit hash of each custom id to detect duplicates.
  */
 public final class JobUpload {
 
   private static final String SOURCE = "body";
   private static final String CHAT_URL = "/v1/chat/completions";
-  private static final int CHUNK_ITEMS = 500;
-  private static final int CHUNK_CHARACTERS = 48 << 10;
-  private static final int MOST_ITEMS = 200_000;
-  private static final int MOST_FINDINGS = 100;
+  private static final int MAX_CHUNK_ITEMS = 500;
+  private static final int MAX_CHUNK_CHARACTERS = 48 << 10;
+  private static final int MAX_ITEMS = 200_000;
+  private static final int MAX_FINDINGS = 100;
 
   private final JobId job;
   private final String submission;
@@ -56,29 +57,29 @@
     this.mapper = mapper;
   }
 
-  /** Takes a line and returns a chunk that it completed. */
+  /** Adds a line and returns the chunk that the line completed, if any. */
   public Optional<JobChunk> line(String text) {
     line++;
     if (text.isBlank()) {
       return Optional.empty();
     }
-    Optional<JobChunk> full = Optional.empty();
+    Optional<JobChunk> completed = Optional.empty();
     JsonNode root = parse(text);
     if (root != null && check(root)) {
-      full = add(root, new ServiceName(root.path("body").path("model").asText()));
+      completed = add(root, new ServiceName(root.path("body").path("model").asText()));
     }
-    return full;
+    return completed;
   }
 
-  /** Returns the last chunk, if items are left. */
+  /** Ends the upload and returns the last chunk, if items are left. */
   public Optional<JobChunk> end() {
     if (line == 0 || (items == 0 && findings.isEmpty())) {
-      find("", "the job has no item");
+      addFinding("", "the job has no item");
     }
     return flush();
   }
 
-  /** Returns everything that is wrong; nothing may be submitted unless it is empty. */
+  /** Returns all faults found so far. The job may be submitted only if this list is empty. */
   public List<Finding> findings() {
     return List.copyOf(findings);
   }
@@ -93,7 +94,7 @@
     return chunks;
   }
 
-  /** Returns the hash of all items; to be called once, at the end. */
+  /** Returns the hash of all items. Call this method only once, after the last item. */
   public String contentHash() {
     return digest.hex();
   }
@@ -102,7 +103,7 @@
     try {
       return mapper.readTree(text);
     } catch (JsonProcessingException e) {
-      find("", "broken JSON: " + e.getOriginalMessage());
+      addFinding("", "broken JSON: " + e.getOriginalMessage());
       return null;
     }
   }
@@ -111,21 +112,21 @@
     int before = findings.size();
     String customId = root.path("custom_id").asText("");
     if (customId.isBlank()) {
-      find("custom_id", "missing");
+      addFinding("custom_id", "missing");
     } else if (!customIds.add(Fingerprint.of("custom_id", bytes(customId)).value())) {
-      find("custom_id", "stands twice: " + customId);
+      addFinding("custom_id", "used more than once: " + customId);
     }
     if (!"POST".equals(root.path("method").asText())) {
-      find("method", "expected POST");
+      addFinding("method", "expected POST");
     }
     if (!CHAT_URL.equals(root.path("url").asText())) {
-      find("url", "expected " + CHAT_URL);
+      addFinding("url", "expected " + CHAT_URL);
     }
     checkBody(root.path("body"));
-    if (items >= MOST_ITEMS) {
-      find("", "a job has " + MOST_ITEMS + " items at most");
+    if (items >= MAX_ITEMS) {
+      addFinding("", "a job has " + MAX_ITEMS + " items at most");
     }
-    return findings.size() == before && findings.size() < MOST_FINDINGS;
+    return findings.size() == before && findings.size() < MAX_FINDINGS;
   }
 
   private void checkBody(JsonNode body) {
@@ -137,23 +138,24 @@
                 .filter(entry -> entry.kind() == ServiceKind.ENGINE)
                 .isPresent();
     if (!known) {
-      find("body.model", "no service named " + model);
+      addFinding("body.model", "no service named " + model);
     }
     if (!body.path("messages").isArray() || body.path("messages").isEmpty()) {
-      find("body.messages", "expected an array of at least one message");
+      addFinding("body.messages", "expected an array of at least one message");
     }
     if (body.path("stream").asBoolean(false)) {
-      find("body.stream", "items of a job are not streamed");
+      addFinding("body.stream", "items of a job are not streamed");
     }
   }
 
   private Optional<JobChunk> add(JsonNode root, ServiceName itemService) {
     String body = root.path("body").toString();
-    Optional<JobChunk> full = Optional.empty();
-    boolean full500 = pending.size() >= CHUNK_ITEMS;
-    boolean fullBytes = !pending.isEmpty() && pendingCharacters + body.length() > CHUNK_CHARACTERS;
-    if (full500 || fullBytes || !itemService.equals(service)) {
-      full = flush();
+    Optional<JobChunk> completed = Optional.empty();
+    boolean enoughItems = pending.size() >= MAX_CHUNK_ITEMS;
+    boolean tooManyCharacters =
+        !pending.isEmpty() && pendingCharacters + body.length() > MAX_CHUNK_CHARACTERS;
+    if (enoughItems || tooManyCharacters || !itemService.equals(service)) {
+      completed = flush();
     }
     service = itemService;
     JobItem item = new JobItem(root.path("custom_id").asText(), "POST", CHAT_URL, body);
@@ -161,7 +163,7 @@
     pendingCharacters += body.length();
     digest.add(item.customId()).add(body);
     items++;
-    return full;
+    return completed;
   }
 
   private Optional<JobChunk> flush() {
@@ -176,8 +178,8 @@
     return Optional.of(chunk);
   }
 
-  private void find(String path, String message) {
-    if (findings.size() < MOST_FINDINGS) {
+  private void addFinding(String path, String message) {
+    if (findings.size() < MAX_FINDINGS) {
       findings.add(new Finding(SOURCE, line, path, message));
     }
   }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/partition/PartitionContext.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/partition/PartitionContext.java
@@ -11,16 +11,16 @@
 import java.time.InstantSource;
 
 /**
- * What all partitions of an instance share.
+ * The dependencies and settings that all partitions of an instance share.
  *
- * @param loop the thread of all deciders
+ * @param loop the decision loop
  * @param log the platform's log
- * @param missed where to get records while the platform is away
- * @param ids numbers the records of this instance
- * @param witnesses what this instance keeps as a witness
- * @param order chooses among jobs
- * @param jobs limits and times of jobs
- * @param runOnce limits and times of run-once requests
+ * @param missed the source of log records while the platform is unreachable
+ * @param ids creates the ids of the records that this instance appends
+ * @param replicaTable the run-once entries that this instance keeps as a replica
+ * @param order chooses the job whose items are dispatched next
+ * @param jobs the limits and timeouts of jobs
+ * @param runOnce the limits and timeouts of run-once requests
  * @param clock the current time
  */
 public record PartitionContext(
@@ -28,7 +28,7 @@
     LogAccess log,
     MissedRecordSource missed,
     RecordIdSource ids,
-    WitnessTable witnesses,
+    WitnessTable replicaTable,
     JobOrder order,
     JobSettings jobs,
     RunOnceSettings runOnce,
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/partition/PartitionEffects.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/partition/PartitionEffects.java
@@ -14,7 +14,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Carries out the effects of a partition's coordinators; used on the loop. */
+/** Performs the effects of the coordinators of a partition. Used on the decision loop. */
 final class PartitionEffects {
 
   private final EffectSink outward;
@@ -51,18 +51,22 @@
   private void readOutcome(PartitionHost host, ReadOutcome read) {
     StreamName stream = read.stream();
     long offset = read.offset();
-    records.read(stream, offset, entry -> outcomeRead(host, entry), () -> unreadable(host, offset));
+    records.read(
+        stream,
+        offset,
+        entry -> onOutcomeRead(host, entry),
+        () -> onOutcomeUnreadable(host, offset));
   }
 
-  private static void outcomeRead(PartitionHost host, LogRecord entry) {
+  private static void onOutcomeRead(PartitionHost host, LogRecord entry) {
     if (entry.body() instanceof EntriesRecorded recorded) {
       host.on(new OutcomeRead(entry.offset(), recorded));
     } else {
-      unreadable(host, entry.offset());
+      onOutcomeUnreadable(host, entry.offset());
     }
   }
 
-  private static void unreadable(PartitionHost host, long offset) {
+  private static void onOutcomeUnreadable(PartitionHost host, long offset) {
     host.on(new OutcomeUnreadable(offset));
   }
 }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/partition/PartitionHost.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/partition/PartitionHost.java
@@ -29,10 +29,13 @@
 import java.util.List;
 import java.util.Optional;
 
-/** One partition that this instance folds, as its holder or as a reader; used on the loop. */
+/**
+ * The state of one partition that this instance folds, either as the holder of the partition or to
+ * read jobs. Used on the decision loop.
+ */
 final class PartitionHost implements AutoCloseable {
 
-  private static final Duration BUSY_AFTER_EVENT = Duration.ofMillis(500);
+  private static final Duration RUN_ONCE_ACTIVE_TIME = Duration.ofMillis(500);
 
   private final PartitionId id;
   private final PartitionEffects effects;
@@ -45,9 +48,9 @@
   private final StreamFollower follower;
   private Optional<Claim> claim = Optional.empty();
   private Instant lastUse;
-  private Instant lastRunOnce = Instant.MIN;
+  private Instant lastRunOnceEvent = Instant.MIN;
 
-  /** Begins to fold a stream at the first offset that the platform retains. */
+  /** Starts to fold the stream at the first offset that the platform retains. */
   PartitionHost(
       PartitionId id,
       long firstOffset,
@@ -68,7 +71,7 @@
             id, fold, jobFold, held, context.ids(), context.order(), context.jobs());
     this.runOnce =
         new DefaultRunOnceCoordinator(
-            id, fold, runOnceFold, held, context.witnesses(), context.ids(), context.runOnce());
+            id, fold, runOnceFold, held, context.replicaTable(), context.ids(), context.runOnce());
     this.lastUse = context.clock().instant();
     this.follower =
         context
@@ -77,41 +80,44 @@
                 StreamName.ofPartition(id),
                 new RestartableFold(fold, onGap),
                 context.missed(),
-                (stream, entry) -> advanced());
+                (stream, entry) -> onAdvanced());
   }
 
-  /** Takes the claim of this instance, or its end. */
+  /** Sets the claim of this instance on the partition; empty if the instance has no claim. */
   void claimChanged(Optional<Claim> own) {
     if (own.equals(claim)) {
       return;
     }
-    claim.ifPresent(before -> held.claimLost(before.epoch()));
+    claim.ifPresent(previous -> held.claimLost(previous.epoch()));
     claim = own;
-    own.ifPresent(now -> effects.perform(this, held.claimGained(now)));
+    own.ifPresent(current -> effects.perform(this, held.claimGained(current)));
     tick();
   }
 
-  /** Returns whether this instance has the claim. */
+  /** Returns whether this instance has a claim on the partition. */
   boolean claimed() {
     return claim.isPresent();
   }
 
-  /** Returns the epoch of the claim that this instance has. */
+  /** Returns the epoch of the claim of this instance; empty without a claim. */
   Optional<Epoch> epoch() {
     return claim.map(Claim::epoch);
   }
 
-  /** Returns whether this instance decides for the partition now. */
-  boolean decides() {
+  /**
+   * Returns whether this instance makes decisions for the partition: its claim is in force, and the
+   * fold of the stream is complete.
+   */
+  boolean makesDecisions() {
     return held.claim().isPresent();
   }
 
-  /** Returns whether the state is whole. */
+  /** Returns whether the folded state is complete and the follower has read the stream. */
   boolean complete() {
     return fold.complete() && follower.knownAsOf().isPresent();
   }
 
-  /** Returns whether the state holds everything that stood in the stream at a time. */
+  /** Returns whether the state includes every record that was in the stream at a time. */
   boolean knowsAllBefore(Instant time) {
     return follower.knownAsOf().filter(known -> !known.isBefore(time)).isPresent();
   }
@@ -130,7 +136,7 @@
   }
 
   List<ServiceBacklog> backlog() {
-    return decides() ? jobs.backlog() : List.of();
+    return makesDecisions() ? jobs.backlog() : List.of();
   }
 
   void on(JobEvent event) {
@@ -139,14 +145,14 @@
 
   void on(RunOnceEvent event) {
     if (!(event instanceof RunOnceTick || event instanceof RunOnceAdvanced)) {
-      lastRunOnce = context.clock().instant();
+      lastRunOnceEvent = context.clock().instant();
     }
     effects.perform(this, runOnce.on(event, context.clock().instant()));
   }
 
-  /** Lets run-once requests go on, if there was one lately. */
+  /** Advances run-once requests if a run-once event arrived within the last 500 ms. */
   void tickRunOnce() {
-    if (context.clock().instant().isBefore(lastRunOnce.plus(BUSY_AFTER_EVENT))) {
+    if (context.clock().instant().isBefore(lastRunOnceEvent.plus(RUN_ONCE_ACTIVE_TIME))) {
       on(new RunOnceTick());
     }
   }
@@ -158,13 +164,15 @@
     on(new RunOnceTick());
   }
 
-  /** Takes nothing new and brings everything into the log. */
+  /** Stops accepting new work and writes everything that is pending to the log. */
   void drain() {
     on(new DrainJobs());
     on(new Drain());
   }
 
-  /** Returns whether nothing is left that is not in the log. */
+  /**
+   * Returns whether no work is left that must be written to the log. Always true without a claim.
+   */
   boolean drained() {
     return !claimed() || (jobs.drained() && runOnce.drained());
   }
@@ -174,7 +182,7 @@
     follower.close();
   }
 
-  private void advanced() {
+  private void onAdvanced() {
     on(new PartitionAdvanced());
     on(new RunOnceAdvanced());
   }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/partition/PartitionHosts.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/partition/PartitionHosts.java
@@ -26,12 +26,12 @@
 import java.util.function.Consumer;
 import org.jspecify.annotations.Nullable;
 
-/** The partitions that this instance holds or reads; used on the loop. */
+/** The partitions that this instance holds or reads. Used on the decision loop. */
 public final class PartitionHosts {
 
   private static final System.Logger LOG = System.getLogger(PartitionHosts.class.getName());
   private static final Duration UNUSED_AFTER = Duration.ofMinutes(2);
-  private static final Duration RETRY_PAUSE = Duration.ofMillis(500);
+  private static final Duration OPEN_RETRY_DELAY = Duration.ofMillis(500);
 
   private final InstanceId self;
   private final ClaimView claims;
@@ -40,7 +40,7 @@
   private final Map<PartitionId, PartitionHost> hosts = new HashMap<>();
   private final Set<PartitionId> opening = new HashSet<>();
 
-  /** Creates the partitions of an instance, none of which is folded yet. */
+  /** Creates the registry; no partition is folded yet. */
   public PartitionHosts(
       InstanceId self,
       ClaimView claims,
@@ -54,7 +54,10 @@
         new PartitionEffects(outward, new RecordReader(context.log(), context.loop()), calls);
   }
 
-  /** Follows the claims: takes up what this instance has won and gives up what it has lost. */
+  /**
+   * Applies the current claims: opens partitions that this instance gained and tells the hosts of
+   * partitions about claims that changed.
+   */
   public void followClaims() {
     for (int i = 0; i < claims.partitions(); i++) {
       PartitionId id = new PartitionId(i);
@@ -68,13 +71,13 @@
     }
   }
 
-  /** Does what the passing of time calls for. */
+  /** Runs the time-dependent work of all partitions, and closes unused ones. */
   public void tick() {
     hosts.values().forEach(PartitionHost::tick);
     closeUnused();
   }
 
-  /** Lets run-once requests go on; every few milliseconds. */
+  /** Advances run-once requests. Call this method every few milliseconds. */
   public void tickRunOnce() {
     hosts.values().forEach(PartitionHost::tickRunOnce);
   }
@@ -84,7 +87,10 @@
     return Optional.ofNullable(hosts.get(id)).filter(PartitionHost::claimed);
   }
 
-  /** Returns a host with whole state for reading, beginning to fold the stream if need be. */
+  /**
+   * Returns a host with complete state for reading. Returns empty while the state is incomplete,
+   * and starts to fold the stream if this instance does not fold it yet.
+   */
   public Optional<PartitionHost> reading(PartitionId id) {
     PartitionHost host = hosts.get(id);
     if (host == null) {
@@ -95,29 +101,30 @@
     return host.complete() ? Optional.of(host) : Optional.empty();
   }
 
-  /** Returns all partitions that are folded here. */
+  /** Returns the hosts of all partitions that this instance folds. */
   public Collection<PartitionHost> all() {
     return List.copyOf(hosts.values());
   }
 
-  /** Returns the items that wait at the partitions held here. */
+  /** Returns the backlogs of the partitions held by this instance, without empty ones. */
   public Map<PartitionId, List<ServiceBacklog>> backlogs() {
-    Map<PartitionId, List<ServiceBacklog>> waiting = new HashMap<>();
+    Map<PartitionId, List<ServiceBacklog>> backlogs = new HashMap<>();
     for (PartitionHost host : hosts.values()) {
       List<ServiceBacklog> backlog = host.backlog();
       if (!backlog.isEmpty()) {
-        waiting.put(host.id(), backlog);
+        backlogs.put(host.id(), backlog);
       }
     }
-    return waiting;
+    return backlogs;
   }
 
   /**
-   * Gives items to a steward, from one of the partitions that have some.
+   * Passes a dispatcher's request for items to the partition whose backlog for the service is due
+   * first.
    *
-   * <p>The steward names no partition: it asks the holder, which knows best what is due first.
+   * <p>The dispatcher names no partition, because the holder knows best which items are due first.
    */
-  public void pulled(PullJobItems message) {
+  public void onPull(PullJobItems message) {
     Comparator<PartitionHost> byDue =
         Comparator.comparing(host -> earliestDue(host, message.service()));
     hosts.values().stream()
@@ -134,17 +141,17 @@
         .orElse(Instant.MAX);
   }
 
-  /** Takes notice that an entry is gone, so that its items are given out anew. */
-  public void stewardLost(InstanceId steward) {
-    all().forEach(host -> host.on(new DispatcherLost(steward)));
+  /** Reports a lost dispatcher to all partitions, so that they dispatch its items again. */
+  public void dispatcherLost(InstanceId dispatcher) {
+    all().forEach(host -> host.on(new DispatcherLost(dispatcher)));
   }
 
-  /** Takes nothing new, and brings everything into the log. */
+  /** Stops accepting new work and writes everything that is pending to the log. */
   public void drain() {
     all().forEach(PartitionHost::drain);
   }
 
-  /** Returns whether everything is in the log. */
+  /** Returns whether no partition has work left that must be written to the log. */
   public boolean drained() {
     return hosts.values().stream().allMatch(PartitionHost::drained);
   }
@@ -159,10 +166,10 @@
         .client()
         .read(stream, 0, 1, Duration.ZERO)
         .whenComplete(
-            (page, failure) -> context.loop().execute(() -> firstRead(id, page, failure)));
+            (page, failure) -> context.loop().execute(() -> onFirstRead(id, page, failure)));
   }
 
-  private void firstRead(PartitionId id, @Nullable LogPage page, @Nullable Throwable failure) {
+  private void onFirstRead(PartitionId id, @Nullable LogPage page, @Nullable Throwable failure) {
     opening.remove(id);
     Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
     if (page != null) {
@@ -170,7 +177,7 @@
     } else if (cause instanceof OffsetExpiredException expired) {
       start(id, expired.firstOffset());
     } else {
-      context.loop().after(RETRY_PAUSE, this::followClaims);
+      context.loop().after(OPEN_RETRY_DELAY, this::followClaims);
     }
   }
 
@@ -179,12 +186,15 @@
       return;
     }
     hosts.put(id, new PartitionHost(id, firstOffset, context, effects, () -> restart(id)));
-    LOG.log(System.Logger.Level.DEBUG, "partitions: folding {0}", id.value());
+    LOG.log(System.Logger.Level.DEBUG, "partitions: started folding {0}", id.value());
     followClaims();
   }
 
   private void restart(PartitionId id) {
-    LOG.log(System.Logger.Level.WARNING, "partitions: {0} fell behind, begins anew", id.value());
+    LOG.log(
+        System.Logger.Level.WARNING,
+        "partitions: {0} fell behind the retained records, restarting the fold",
+        id.value());
     PartitionHost behind = hosts.remove(id);
     if (behind != null) {
       behind.close();
@@ -193,12 +203,14 @@
   }
 
   private void closeUnused() {
-    Instant limit = context.clock().instant().minus(UNUSED_AFTER);
+    Instant unusedSince = context.clock().instant().minus(UNUSED_AFTER);
     Consumer<PartitionHost> close =
         host -> {
           host.close();
           hosts.remove(host.id());
         };
-    all().stream().filter(host -> !host.claimed() && host.lastUse().isBefore(limit)).forEach(close);
+    all().stream()
+        .filter(host -> !host.claimed() && host.lastUse().isBefore(unusedSince))
+        .forEach(close);
   }
 }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/partition/PartitionMessages.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/partition/PartitionMessages.java
@@ -1,6 +1,6 @@
 package io.hawthornlb.app.partition;
 
-import static io.hawthornlb.app.entry.MessageHandlers.heard;
+import static io.hawthornlb.app.entry.MessageHandlers.oneWay;
 
 import io.hawthornlb.app.entry.EffectSink;
 import io.hawthornlb.core.effect.SendPeerMessage;
@@ -37,44 +37,44 @@
 import java.util.Optional;
 import java.util.TreeMap;
 
-/** Brings messages of peers to the partitions and the witness table of this instance. */
+/** Routes messages of peers to the partitions and to the replica table of this instance. */
 public final class PartitionMessages {
 
   private final PartitionHosts hosts;
-  private final WitnessTable witnesses;
+  private final WitnessTable replicaTable;
   private final EffectSink effects;
   private final InstantSource clock;
   private final int partitions;
 
-  /** Creates the handlers. */
+  /** Creates the message handlers. */
   public PartitionMessages(
       PartitionHosts hosts,
-      WitnessTable witnesses,
+      WitnessTable replicaTable,
       EffectSink effects,
       InstantSource clock,
       int partitions) {
     this.hosts = hosts;
-    this.witnesses = witnesses;
+    this.replicaTable = replicaTable;
     this.effects = effects;
     this.clock = clock;
     this.partitions = partitions;
   }
 
-  /** Adds the handlers. */
+  /** Registers the handlers. */
   public void register(PeerHandlerRegistry.Builder builder) {
     builder
-        .register(SubmitJob.class, heard(this::submit))
-        .register(CancelJob.class, heard(this::cancel))
-        .register(ItemFinished.class, heard(message -> job(message.item().job(), message)))
-        .register(ItemFailed.class, heard(message -> job(message.item().job(), message)))
-        .register(ItemsHeld.class, heard(this::held))
-        .register(ForwardRunOnce.class, heard(this::forward))
-        .register(EntriesStored.class, heard(message -> runOnce(message.partition(), message)))
-        .register(WitnessContents.class, heard(message -> runOnce(message.partition(), message)))
-        .register(LateOutcome.class, heard(message -> runOnce(message.partition(), message)))
-        .register(StoreEntries.class, heard(this::store))
-        .register(ForgetEntries.class, heard(witnesses::forget))
-        .register(FenceAndCollect.class, heard(this::fence));
+        .register(SubmitJob.class, oneWay(this::submit))
+        .register(CancelJob.class, oneWay(this::cancel))
+        .register(ItemFinished.class, oneWay(message -> job(message.item().job(), message)))
+        .register(ItemFailed.class, oneWay(message -> job(message.item().job(), message)))
+        .register(ItemsHeld.class, oneWay(this::onItemsHeld))
+        .register(ForwardRunOnce.class, oneWay(this::forward))
+        .register(EntriesStored.class, oneWay(message -> runOnce(message.partition(), message)))
+        .register(WitnessContents.class, oneWay(message -> runOnce(message.partition(), message)))
+        .register(LateOutcome.class, oneWay(message -> runOnce(message.partition(), message)))
+        .register(StoreEntries.class, oneWay(this::store))
+        .register(ForgetEntries.class, oneWay(replicaTable::forget))
+        .register(FenceAndCollect.class, oneWay(this::fence));
   }
 
   private void submit(SubmitJob message) {
@@ -103,8 +103,11 @@
     hosts.holding(JobIds.partition(job)).ifPresent(host -> host.on(event));
   }
 
-  /** A steward names its items of all partitions at once; each partition gets its own. */
-  private void held(ItemsHeld message) {
+  /**
+   * Splits the item list of a dispatcher by partition. The dispatcher sends one list for all
+   * partitions of the holder; each partition receives its own items, or an empty list.
+   */
+  private void onItemsHeld(ItemsHeld message) {
     Map<PartitionId, List<ItemKey>> byPartition = new TreeMap<>();
     for (ItemKey item : message.items()) {
       byPartition.computeIfAbsent(JobIds.partition(item.job()), id -> new ArrayList<>()).add(item);
@@ -130,11 +133,11 @@
   }
 
   private void store(StoreEntries message) {
-    send(message.holder(), witnesses.store(message, clock.instant()));
+    send(message.holder(), replicaTable.store(message, clock.instant()));
   }
 
   private void fence(FenceAndCollect message) {
-    send(message.successor(), witnesses.fence(message));
+    send(message.successor(), replicaTable.fence(message));
   }
 
   private void send(InstanceId target, PeerMessage message) {
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/partition/PartitionPlane.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/partition/PartitionPlane.java
@@ -1,6 +1,6 @@
 package io.hawthornlb.app.partition;
 
-import static io.hawthornlb.app.entry.MessageHandlers.heard;
+import static io.hawthornlb.app.entry.MessageHandlers.oneWay;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import io.hawthornlb.app.dispatch.PlainService;
@@ -25,23 +25,23 @@
 import java.time.Duration;
 import java.time.InstantSource;
 
-/** Everything on this instance that jobs and run-once requests need. */
+/** Wires the components of an instance that process jobs and run-once requests. */
 public final class PartitionPlane {
 
-  private static final int MOST_RUN_ONCE = 10_000;
-  private static final long WITNESS_BYTES = 16 << 20;
-  private static final Duration URGENT = Duration.ofMinutes(10);
-  private static final double EQUAL_WEIGHT = 1;
+  private static final int MAX_FORWARDED_REQUESTS = 10_000;
+  private static final long REPLICA_TABLE_BYTES = 16 << 20;
+  private static final Duration URGENT_WINDOW = Duration.ofMinutes(10);
+  private static final double DEFAULT_WEIGHT = 1;
 
   private final PartitionContext context;
   private final PartitionHosts hosts;
   private final PartitionMessages messages;
-  private final JobQuestionDesk desk;
+  private final JobHolderClient holderClient;
   private final RunOnceService runOnce;
   private final JobService jobs;
   private final JobReader reader;
 
-  /** Creates the plane of an instance. */
+  /** Creates the components of an instance. */
   public PartitionPlane(
       InstanceId self,
       ClaimView claims,
@@ -54,45 +54,52 @@
       DecisionLoop loop,
       InstantSource clock) {
     int partitions = claims.partitions();
-    WitnessTable witnesses = new SimpleWitnessTable(self, WITNESS_BYTES);
+    WitnessTable replicaTable = new SimpleWitnessTable(self, REPLICA_TABLE_BYTES);
     this.context =
         new PartitionContext(
             loop,
             log,
             missed,
             ids,
-            witnesses,
-            new FairDeadlineJobOrder(URGENT, workspace -> weight(catalogue, workspace)),
+            replicaTable,
+            new FairDeadlineJobOrder(URGENT_WINDOW, workspace -> weight(catalogue, workspace)),
             JobSettings.builder().build(),
             RunOnceSettings.builder().build(),
             clock);
     this.hosts =
         new PartitionHosts(self, claims, context, outward, new CallRunner(direct, catalogue, loop));
-    this.messages = new PartitionMessages(hosts, witnesses, outward, clock, partitions);
-    this.desk = new JobQuestionDesk(claims, outward, loop, clock);
+    this.messages = new PartitionMessages(hosts, replicaTable, outward, clock, partitions);
+    this.holderClient = new JobHolderClient(claims, outward, loop, clock);
     this.runOnce =
         new RunOnceService(
-            direct, new DefaultRunOnceForwarder(self, claims, MOST_RUN_ONCE), outward, loop, clock);
-    this.jobs = new JobService(self, context, desk, new ObjectMapper(), partitions);
+            direct,
+            new DefaultRunOnceForwarder(self, claims, MAX_FORWARDED_REQUESTS),
+            outward,
+            loop,
+            clock);
+    this.jobs = new JobService(self, context, holderClient, new ObjectMapper(), partitions);
     this.reader = new JobReader(hosts, context, partitions);
   }
 
-  /** Adds the handlers of messages about partitions. */
+  /** Registers the handlers of messages about partitions. */
   public void register(PeerHandlerRegistry.Builder builder) {
     messages.register(builder);
     builder
-        .register(JobAnswer.class, heard(desk::answered))
-        .register(RunOnceAnswered.class, heard(runOnce::answered));
+        .register(JobAnswer.class, oneWay(holderClient::onAnswer))
+        .register(RunOnceAnswered.class, oneWay(runOnce::onAnswer));
   }
 
-  /** Does what the passing of time calls for; on the loop, several times a second. */
+  /**
+   * Runs the time-dependent work of all components. Call this method on the decision loop, several
+   * times a second.
+   */
   public void tick() {
     hosts.tick();
-    desk.tick();
+    holderClient.tick();
     runOnce.tick();
   }
 
-  /** Returns the partitions that are folded here. */
+  /** Returns the partitions that this instance folds. */
   public PartitionHosts hosts() {
     return hosts;
   }
@@ -102,12 +109,12 @@
     return runOnce;
   }
 
-  /** Returns the service that takes jobs. */
+  /** Returns the service that accepts and cancels jobs. */
   public JobService jobs() {
     return jobs;
   }
 
-  /** Returns the reader of jobs. */
+  /** Returns the reader of job status and results. */
   public JobReader reader() {
     return reader;
   }
@@ -118,6 +125,6 @@
         .catalogue()
         .workspace(workspace)
         .map(entry -> entry.weight())
-        .orElse(EQUAL_WEIGHT);
+        .orElse(DEFAULT_WEIGHT);
   }
 }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/partition/RecordReader.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/partition/RecordReader.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.CompletionStage;
 import java.util.function.Consumer;
 
-/** Reads single records of the log, from what is kept here if it is there. */
+/** Reads single records of the log. */
 final class RecordReader {
 
   private final LogAccess log;
@@ -22,7 +22,10 @@
     this.loop = loop;
   }
 
-  /** Reads a record and hands it, or its absence, over on the loop. */
+  /**
+   * Reads a record and passes it to {@code found} on the decision loop. Runs {@code missing}
+   * instead if the read fails or the log no longer has the record.
+   */
   void read(StreamName stream, long offset, Consumer<LogRecord> found, Runnable missing) {
     read(stream, offset)
         .whenComplete(
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/partition/RestartableFold.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/partition/RestartableFold.java
@@ -5,10 +5,11 @@
 import io.hawthornlb.core.partition.PartitionFold;
 
 /**
- * Lets a follower feed the fold of a partition.
+ * Adapts the fold of a partition to a stream follower.
  *
- * <p>A fold that fell behind what the platform retains cannot go on, since records are missing. Its
- * owner hears of it and begins anew with a fold that waits for a round of snapshots.
+ * <p>A fold that fell behind the records that the platform retains cannot continue, since records
+ * are missing. In that case the adapter runs {@code onGap}; the owner then starts over with a new
+ * fold, which waits for a round of snapshots.
  */
 final class RestartableFold implements SnapshotFold {
 
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/partition/RunOnceService.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/partition/RunOnceService.java
@@ -27,7 +27,10 @@
 import reactor.core.publisher.Mono;
 import reactor.core.publisher.MonoSink;
 
-/** Sends calls that must run at most once to the holders of their keys, others straight on. */
+/**
+ * Forwards calls that must run at most once to the holders of their keys. Calls that may be
+ * repeated go directly to an endpoint.
+ */
 public final class RunOnceService implements PlainService {
 
   private final PlainService direct;
@@ -59,17 +62,20 @@
     return loop.ask(sink -> submit(call, sink));
   }
 
-  /** Takes the answer of a holder; on the loop. */
-  public void answered(RunOnceAnswered message) {
+  /** Handles the answer of a holder. Call this method on the decision loop. */
+  public void onAnswer(RunOnceAnswered message) {
     perform(forwarder.answered(message, clock.instant()));
   }
 
-  /** Looks for new holders and passed deadlines; on the loop, several times a second. */
+  /**
+   * Forwards requests whose holder changed and ends those past their deadline. Call this method on
+   * the decision loop, several times a second.
+   */
   public void tick() {
     perform(forwarder.tick(clock.instant()));
   }
 
-  /** Returns how many callers wait; on the loop. */
+  /** Returns the number of waiting callers. Call this method on the decision loop. */
   public int inProgress() {
     return callers.size();
   }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/partition/ServiceBodies.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/partition/ServiceBodies.java
@@ -5,9 +5,10 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Turns answers between the forms of endpoints and of records.
+ * Converts service answers between the types of the endpoint client and of the log records.
  *
- * <p>Bodies travel as text with one character a byte, so that every byte arrives as it was.
+ * <p>A body is converted to text in ISO 8859-1, with one character for each byte. This conversion
+ * preserves every byte.
  */
 final class ServiceBodies {
 
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/partition/package-info.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/partition/package-info.java
@@ -1,4 +1,4 @@
-/** Partitions on this instance: folds, coordinators, and the adapters of their effects. */
+/** The partitions of an instance: folds, coordinators, and the adapters of their effects. */
 @NullMarked
 package io.hawthornlb.app.partition;
 
