--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/ActiveRequest.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/ActiveRequest.java
@@ -13,7 +13,7 @@
 import java.util.Set;
 import org.jspecify.annotations.Nullable;
 
-/** What the instance remembers of a request between its offer and its end. */
+/** The state of an online request on this instance, from admission to the end of the request. */
 final class ActiveRequest {
 
   private static final StateChart<RequestState, RequestEvent, RequestAction> CHART =
@@ -58,7 +58,7 @@
     return excluded;
   }
 
-  /** Returns the endpoint that has the request now, or null between two tries. */
+  /** Returns the endpoint that currently has the request, or null between two attempts. */
   @Nullable EndpointId endpoint() {
     return endpoint;
   }
@@ -92,12 +92,13 @@
   }
 
   /**
-   * Returns a refusal that is true of all tries together.
+   * Returns a refusal whose run status covers all attempts of the request.
    *
-   * <p>A later try that reached no endpoint says "not run" of itself; said of the request, that
-   * would be false when an earlier try broke after an endpoint had it.
+   * <p>The refusal of an attempt that reached no endpoint has the status "not run". That status is
+   * wrong for the request if an earlier attempt failed after an endpoint had received the request.
+   * In that case the returned refusal has the status "may have run".
    */
-  Refusal truthful(Refusal refusal) {
+  Refusal forAllAttempts(Refusal refusal) {
     if (!mayHaveRun || refusal.run() == RunStatus.MAY_HAVE_RUN) {
       return refusal;
     }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/CacheNotice.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/CacheNotice.java
@@ -6,10 +6,10 @@
 import java.util.List;
 
 /**
- * Tells peers of cache events of an endpoint.
+ * Reports the prefix cache events of an endpoint to peers.
  *
  * @param endpoint the endpoint
- * @param events its events
+ * @param events the cache events of the endpoint
  */
 public record CacheNotice(EndpointId endpoint, List<PrefixEvent> events) implements PeerMessage {
 
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/CapacityCount.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/CapacityCounter.java
@@ -7,19 +7,22 @@
 import io.hawthornlb.core.endpoint.LoadReport;
 import java.time.Instant;
 
-/** Counts how many requests the endpoints of a service can execute at once. */
-final class CapacityCount {
+/** Computes how many requests the endpoints of a service can execute concurrently. */
+final class CapacityCounter {
 
   private static final int UNREPORTED_ENGINE_SLOTS = 16;
   private static final int UNREPORTED_SERVICE_SLOTS = 64;
 
   private final EndpointTable endpoints;
 
-  CapacityCount(EndpointTable endpoints) {
+  CapacityCounter(EndpointTable endpoints) {
     this.endpoints = endpoints;
   }
 
-  /** Returns the slots of all endpoints that take requests. */
+  /**
+   * Returns the total number of slots of the endpoints that accept requests. An endpoint that has
+   * not reported its slots counts as 16 for an engine and 64 for a plain service.
+   */
   int slots(ServiceEntry service, Instant now) {
     int unreported =
         service.kind() == ServiceKind.ENGINE ? UNREPORTED_ENGINE_SLOTS : UNREPORTED_SERVICE_SLOTS;
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/CatalogueHolder.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/CatalogueHolder.java
@@ -4,7 +4,7 @@
 import io.hawthornlb.app.http.CatalogueSource;
 import io.hawthornlb.core.catalogue.Catalogue;
 
-/** Hands the catalogue from the decision loop to the threads that serve callers. */
+/** Publishes the catalogue from the decision loop to the threads that serve callers. */
 public final class CatalogueHolder implements CatalogueSource {
 
   private volatile CatalogueIndex current = new CatalogueIndex(Catalogue.EMPTY);
@@ -14,7 +14,7 @@
     return current;
   }
 
-  /** Takes a newer catalogue; one that is no newer is passed over. */
+  /** Sets the current catalogue if its revision is newer; otherwise does nothing. */
   public synchronized void update(Catalogue catalogue) {
     if (catalogue.revision() > current.catalogue().revision()) {
       current = new CatalogueIndex(catalogue);
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/ControlPlane.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/ControlPlane.java
@@ -31,12 +31,12 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionStage;
 
-/** What all instances agree on through the log: the catalogue and who holds which partition. */
+/** Maintains the state that all instances share through the log: the catalogue and the claims. */
 public final class ControlPlane {
 
   private static final System.Logger LOG = System.getLogger(ControlPlane.class.getName());
 
-  private static final Duration EDIT_PAUSE = Duration.ofMillis(10);
+  private static final Duration OUTCOME_POLL_INTERVAL = Duration.ofMillis(10);
 
   private final LogAccess log;
   private final DecisionLoop loop;
@@ -73,54 +73,57 @@
             ClaimSettings.of(settings.claims().renew(), settings.claims().silence()));
   }
 
-  /** Begins to follow both streams. */
+  /** Starts to follow the streams of the catalogue and of the claims. */
   public void start(MissedRecordSource missed) {
-    log.follow(StreamName.CATALOGUE, catalogue, missed, (stream, entry) -> catalogueRead());
-    log.follow(StreamName.CLAIMS, claimFold, missed, (stream, entry) -> claimRead(entry));
+    log.follow(StreamName.CATALOGUE, catalogue, missed, (stream, entry) -> onCatalogueRecord());
+    log.follow(StreamName.CLAIMS, claimFold, missed, (stream, entry) -> onClaimRecord(entry));
   }
 
-  /** Adds a task that runs whenever claims may have changed; on the loop. */
+  /** Adds a listener that runs on the decision loop whenever claims may have changed. */
   public void onClaims(Runnable listener) {
     claimListeners.add(listener);
   }
 
-  /** Renews, claims and writes snapshots as time calls for; on the loop. */
+  /**
+   * Renews leases, claims partitions and writes snapshots that are due. Call this method on the
+   * decision loop.
+   */
   public void tick() {
     appendAll(claims.onTick());
     appendAll(editor.onTick(claims.isPreferredSnapshotWriter(StreamName.CATALOGUE)));
   }
 
-  /** Takes the instances that the platform lists; on the loop. */
+  /** Sets the instances listed by the platform. Call this method on the decision loop. */
   public void onListed(Set<InstanceId> listed) {
     claims.onListed(listed);
   }
 
-  /** Hands over all claims; on the loop. */
+  /** Starts to hand over all claims. Call this method on the decision loop. */
   public void stop() {
     appendAll(claims.stop());
   }
 
-  /** Returns whether all claims have been handed over; on the loop. */
+  /** Returns whether all claims have been handed over. Call this method on the decision loop. */
   public boolean stopped() {
     return claims.stopped();
   }
 
-  /** Returns the current claims; on the loop. */
+  /** Returns the current claims. Use them on the decision loop. */
   public ClaimView claimView() {
     return claimFold;
   }
 
-  /** Returns the claims' decider; on the loop. */
+  /** Returns the claim manager. Use it on the decision loop. */
   public ClaimManager claims() {
     return claims;
   }
 
-  /** Returns the catalogue with the outcomes of its edits; on the loop. */
+  /** Returns the catalogue with the outcomes of its edits. Use this view on the decision loop. */
   public CatalogueView catalogueView() {
     return catalogue;
   }
 
-  /** Takes an edit to the log and returns what became of it. */
+  /** Appends an edit to the log and returns the outcome of the edit. */
   public CompletionStage<EditOutcome> edit(CatalogueEdit edit) {
     CompletableFuture<EditOutcome> result = new CompletableFuture<>();
     loop.execute(() -> submit(edit, result));
@@ -155,7 +158,7 @@
               () -> result.completeExceptionally(new UnknownEditException(editId)));
       return;
     }
-    loop.after(EDIT_PAUSE, () -> awaitOutcome(editId, offset, result));
+    loop.after(OUTCOME_POLL_INTERVAL, () -> awaitOutcome(editId, offset, result));
   }
 
   private void appendAll(List<AppendRecord> effects) {
@@ -165,20 +168,20 @@
               failure -> {
                 LOG.log(
                     System.Logger.Level.WARNING,
-                    "log: a record of stream {0} was given up",
+                    "log: could not append a record to stream {0}",
                     effect.stream());
                 return -1L;
               });
     }
   }
 
-  private void catalogueRead() {
+  private void onCatalogueRecord() {
     if (catalogue.complete()) {
       holder.update(catalogue.current());
     }
   }
 
-  private void claimRead(LogRecord entry) {
+  private void onClaimRecord(LogRecord entry) {
     claims.onRecord(entry);
     claimListeners.forEach(Runnable::run);
   }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/CoreOnlineDecisions.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/CoreOnlineDecisions.java
@@ -35,20 +35,20 @@
 import reactor.core.publisher.Mono;
 import reactor.core.publisher.MonoSink;
 
-/** Asks the deciders on the decision loop and turns their effects into answers. */
+/** Runs the online policies on the decision loop and converts their effects into results. */
 public final class CoreOnlineDecisions implements OnlineDecisions {
 
-  private static final Duration COME_BACK = Duration.ofSeconds(1);
-  private static final Duration QUARANTINE_PAUSE = Duration.ofMillis(20);
+  private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
+  private static final Duration QUARANTINE_POLL_INTERVAL = Duration.ofMillis(20);
 
   private final DecisionLoop loop;
   private final OnlinePolicies policies;
   private final CrashDetector crashes;
   private final EffectSink effects;
-  private final SuspectRuns suspects;
+  private final OnlineSuspectTracker suspects;
   private final RequestObserver observer;
   private final DataCentre dataCentre;
-  private final int mostRequests;
+  private final int maxRequests;
   private final InstantSource clock;
   private final Map<RequestId, MonoSink<Void>> waiting = new HashMap<>();
   private final Map<RequestId, ActiveRequest> active = new HashMap<>();
@@ -62,16 +62,16 @@
       EffectSink effects,
       RequestObserver observer,
       DataCentre dataCentre,
-      int mostRequests,
+      int maxRequests,
       InstantSource clock) {
     this.loop = loop;
     this.policies = policies;
     this.crashes = crashes;
     this.effects = effects;
-    this.suspects = new SuspectRuns(policies, effects, clock);
+    this.suspects = new OnlineSuspectTracker(policies, effects, clock);
     this.observer = observer;
     this.dataCentre = dataCentre;
-    this.mostRequests = mostRequests;
+    this.maxRequests = maxRequests;
     this.clock = clock;
   }
 
@@ -91,7 +91,7 @@
         () -> {
           ActiveRequest state = active.get(attempt.request().id());
           if (state != null) {
-            observer.firstAnswer(state.request(), since(state));
+            observer.firstAnswer(state.request(), elapsedSinceOffer(state));
           }
         });
   }
@@ -105,9 +105,9 @@
           if (state == null) {
             return;
           }
-          observer.succeeded(state.request(), since(state));
-          suspects.succeeded(state, attempt.endpoint());
-          leave(state);
+          observer.succeeded(state.request(), elapsedSinceOffer(state));
+          suspects.aloneSucceeded(state, attempt.endpoint());
+          leaveEndpoint(state);
         });
   }
 
@@ -117,7 +117,7 @@
         () -> {
           ActiveRequest state = active.get(attempt.request().id());
           if (state != null) {
-            leave(state);
+            leaveEndpoint(state);
           }
         });
   }
@@ -132,18 +132,21 @@
     loop.execute(() -> finish(request.id()));
   }
 
-  /** Lets requests that wait start or refuses them, as time calls for; on the loop. */
+  /**
+   * Starts or refuses waiting requests that are due, and runs the time-dependent work of the
+   * suspect table. Call this method on the decision loop.
+   */
   public void tick() {
     perform(policies.admission().onTick(clock.instant()));
     suspects.tick(clock.instant());
   }
 
-  /** Refuses every new request from now on; on the loop. */
+  /** Refuses all new requests from now on. Call this method on the decision loop. */
   public void stop() {
     stopping = true;
   }
 
-  /** Returns how many requests this instance has; on the loop. */
+  /** Returns the number of active requests. Call this method on the decision loop. */
   public int inProgress() {
     return active.size();
   }
@@ -153,14 +156,14 @@
       sink.error(
           new RefusalException(
               Refusal.notRun(RefusalReason.STOPPING, "this instance is stopping")
-                  .retryAfter(COME_BACK)));
+                  .retryAfter(RETRY_AFTER)));
       return;
     }
-    if (active.size() >= mostRequests) {
+    if (active.size() >= maxRequests) {
       sink.error(
           new RefusalException(
               Refusal.notRun(RefusalReason.LIMIT_EXCEEDED, "this instance has too many requests")
-                  .retryAfter(COME_BACK)));
+                  .retryAfter(RETRY_AFTER)));
       return;
     }
     Instant now = clock.instant();
@@ -169,7 +172,7 @@
     if (decision instanceof AdmissionDecision.Admitted) {
       sink.success();
     } else if (decision instanceof AdmissionDecision.Refused refused) {
-      forget(request.id(), refused.refusal());
+      refuseAdmission(request.id(), refused.refusal());
       sink.error(new RefusalException(refused.refusal()));
     } else {
       waiting.put(request.id(), sink);
@@ -225,16 +228,16 @@
       ActiveRequest state, EndpointId target, MonoSink<RoutedAttempt> sink, Instant now) {
     Endpoint endpoint = policies.endpoints().find(target).orElse(null);
     if (endpoint == null) {
-      refuse(state, noEndpoint("the endpoint has gone"), sink);
+      refuse(state, noEndpoint("the endpoint is no longer listed"), sink);
       return;
     }
-    suspects.started(state, target, now);
+    suspects.aloneStarted(state, target, now);
     start(state, target, endpoint.address(), true, sink, now);
   }
 
   private void startRouted(ActiveRequest state, MonoSink<RoutedAttempt> sink, Instant now) {
     OnlineRequest request = state.request();
-    RouteRequest asked =
+    RouteRequest routeRequest =
         new RouteRequest(
             request.id(),
             request.service().name(),
@@ -245,9 +248,9 @@
             state.excluded(),
             request.promptTokens(),
             request.deadline());
-    Either<Refusal, Route> route = policies.router().choose(asked, now);
-    if (route.isLeft() && waitsForQuarantine(request, now)) {
-      loop.after(QUARANTINE_PAUSE, () -> choose(request, sink));
+    Either<Refusal, Route> route = policies.router().choose(routeRequest, now);
+    if (route.isLeft() && shouldWaitForQuarantine(request, now)) {
+      loop.after(QUARANTINE_POLL_INTERVAL, () -> choose(request, sink));
     } else if (route.isLeft()) {
       refuse(state, route.getLeft(), sink);
     } else {
@@ -256,14 +259,16 @@
   }
 
   /**
-   * Returns whether an endpoint will be open again once a suspect that runs alone there has ended.
+   * Returns whether a request should wait because an endpoint of its service is quarantined and
+   * will accept requests again once the suspect that runs alone there has ended.
    *
-   * <p>After one of two engines has died, what ran there runs alone at the other, one after
-   * another. Refusing everybody else meanwhile would turn the loss of one engine into an outage.
+   * <p>After one of two engines has crashed, the requests that ran there run alone at the other
+   * engine, one after another. Refusing all other requests during that time would turn the loss of
+   * one engine into an outage.
    */
-  private boolean waitsForQuarantine(OnlineRequest request, Instant now) {
-    boolean inTime = now.plus(QUARANTINE_PAUSE).isBefore(request.deadline());
-    return inTime
+  private boolean shouldWaitForQuarantine(OnlineRequest request, Instant now) {
+    boolean beforeDeadline = now.plus(QUARANTINE_POLL_INTERVAL).isBefore(request.deadline());
+    return beforeDeadline
         && policies.endpoints().of(request.service().name()).stream()
             .anyMatch(
                 endpoint -> endpoint.quarantined(now) && endpoint.state(now) == EndpointState.LIVE);
@@ -289,7 +294,7 @@
   }
 
   private <T> void refuse(ActiveRequest state, Refusal refusal, MonoSink<T> sink) {
-    Refusal answer = state.truthful(refusal);
+    Refusal answer = state.forAllAttempts(refusal);
     observer.refused(state.request(), answer);
     sink.error(new RefusalException(answer));
   }
@@ -326,9 +331,9 @@
     observe(endpoint, result.crashed() ? Observation.CRASH : Observation.FAILURE);
     if (result.crashed() && result.firstToSee()) {
       policies.prefixes().onLost(endpoint, now);
-      suspects.crashed(endpoint, running, now);
+      suspects.endpointCrashed(endpoint, running, now);
     } else if (!result.crashed()) {
-      suspects.succeeded(state, endpoint);
+      suspects.aloneSucceeded(state, endpoint);
     }
     afterFailure(state, attempt, EndpointFault.BROKEN, sink);
   }
@@ -336,7 +341,7 @@
   private void afterFailure(
       ActiveRequest state, RoutedAttempt attempt, EndpointFault fault, MonoSink<Duration> sink) {
     Instant now = clock.instant();
-    suspects.left(state, attempt.endpoint());
+    suspects.aloneEnded(state, attempt.endpoint());
     policies.inFlight().onFinished(attempt.endpoint(), now);
     state.failedAt(attempt.endpoint(), fault.mayHaveRun());
     FailedAttempt failed =
@@ -347,7 +352,7 @@
             fault.mayHaveRun(),
             state.failed(),
             attempt.request().deadline(),
-            state.truthful(refusal(fault)));
+            state.forAllAttempts(refusal(fault)));
     Either<Refusal, Retry> next = policies.retries().onFailure(failed, now);
     if (next.isLeft()) {
       refuse(state, next.getLeft(), sink);
@@ -363,50 +368,50 @@
     if (state == null) {
       return;
     }
-    leave(state);
+    leaveEndpoint(state);
     state.ended();
     observer.finished(state.request());
     perform(policies.admission().onFinished(id, clock.instant()));
   }
 
-  private void leave(ActiveRequest state) {
+  private void leaveEndpoint(ActiveRequest state) {
     EndpointId endpoint = state.endpoint();
     if (endpoint != null) {
-      suspects.left(state, endpoint);
+      suspects.aloneEnded(state, endpoint);
       policies.inFlight().onFinished(endpoint, clock.instant());
       state.leftEndpoint();
     }
   }
 
   private void perform(List<Effect> decided) {
-    List<Effect> outside = new ArrayList<>();
+    List<Effect> others = new ArrayList<>();
     for (Effect effect : decided) {
       if (effect instanceof StartRequest start) {
-        succeed(waiting.remove(start.id()));
+        admitWaiting(waiting.remove(start.id()));
       } else if (effect instanceof RefuseRequest refuse) {
-        forgetWaiting(refuse.id(), refuse.refusal());
+        refuseWaiting(refuse.id(), refuse.refusal());
       } else {
-        outside.add(effect);
+        others.add(effect);
       }
     }
-    effects.perform(outside);
+    effects.perform(others);
   }
 
-  private static void succeed(@Nullable MonoSink<Void> sink) {
+  private static void admitWaiting(@Nullable MonoSink<Void> sink) {
     if (sink != null) {
       sink.success();
     }
   }
 
-  private void forgetWaiting(RequestId id, Refusal refusal) {
+  private void refuseWaiting(RequestId id, Refusal refusal) {
     MonoSink<Void> sink = waiting.remove(id);
-    forget(id, refusal);
+    refuseAdmission(id, refusal);
     if (sink != null) {
       sink.error(new RefusalException(refusal));
     }
   }
 
-  private void forget(RequestId id, Refusal refusal) {
+  private void refuseAdmission(RequestId id, Refusal refusal) {
     ActiveRequest state = active.remove(id);
     if (state != null) {
       state.ended();
@@ -426,7 +431,7 @@
         .toList();
   }
 
-  private Duration since(ActiveRequest state) {
+  private Duration elapsedSinceOffer(ActiveRequest state) {
     return Duration.between(state.offeredAt(), clock.instant());
   }
 
@@ -440,16 +445,17 @@
 
   private static Refusal refusal(EndpointFault fault) {
     return switch (fault) {
-      case NOT_SENT, DECLINED -> noEndpoint("no endpoint took the request");
+      case NOT_SENT, DECLINED -> noEndpoint("no endpoint accepted the request");
       case TIMED_OUT ->
-          Refusal.mayHaveRun(RefusalReason.TIMEOUT, "the endpoint gave no answer in time");
+          Refusal.mayHaveRun(RefusalReason.TIMEOUT, "the endpoint did not answer in time");
       default ->
           Refusal.mayHaveRun(
-              RefusalReason.ENDPOINT_FAILED, "the endpoint failed after it had the request");
+              RefusalReason.ENDPOINT_FAILED,
+              "the endpoint failed after it had received the request");
     };
   }
 
   private static Refusal noEndpoint(String detail) {
-    return Refusal.notRun(RefusalReason.NO_ENDPOINT, detail).retryAfter(COME_BACK);
+    return Refusal.notRun(RefusalReason.NO_ENDPOINT, detail).retryAfter(RETRY_AFTER);
   }
 }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/CrashDetector.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/CrashDetector.java
@@ -3,21 +3,21 @@
 import io.hawthornlb.core.model.EndpointId;
 import reactor.core.publisher.Mono;
 
-/** Tells a process that died from a connection that broke. */
+/** Distinguishes the crash of an endpoint from the loss of a single connection. */
 public interface CrashDetector {
 
   /**
-   * Looks whether the process behind a broken connection still lives.
+   * Checks whether the endpoint behind a broken connection is still running.
    *
-   * <p>Probes of the same endpoint at the same time share one look.
+   * <p>Concurrent probes of the same endpoint share one check.
    */
   Mono<Result> probe(EndpointId endpoint, String address);
 
   /**
-   * What a probe showed.
+   * The result of a probe.
    *
-   * @param crashed whether the process is gone
-   * @param firstToSee whether this is the first answer about this crash
+   * @param crashed whether the endpoint has crashed
+   * @param firstToSee whether this is the first result that reports this crash
    */
   record Result(boolean crashed, boolean firstToSee) {}
 }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/DecisionLoop.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/DecisionLoop.java
@@ -10,9 +10,10 @@
 import reactor.core.publisher.MonoSink;
 
 /**
- * The one thread that all deciders of an instance are confined to.
+ * The single thread to which all decision logic of an instance is confined.
  *
- * <p>Tasks are short and never block. A task that fails is logged and stops no other.
+ * <p>Tasks must be short and must not block. A task that throws an exception is logged and does not
+ * affect other tasks.
  */
 public final class DecisionLoop implements Executor, AutoCloseable {
 
@@ -38,28 +39,31 @@
   @Override
   public void execute(Runnable task) {
     try {
-      executor.execute(guarded(task));
+      executor.execute(logFailures(task));
     } catch (RejectedExecutionException e) {
-      LOG.log(System.Logger.Level.DEBUG, "loop: stopped, task dropped");
+      LOG.log(System.Logger.Level.DEBUG, "loop: stopped, dropping a task");
     }
   }
 
   /** Runs a task once after a delay. */
   public void after(Duration delay, Runnable task) {
     try {
-      executor.schedule(guarded(task), delay.toMillis(), TimeUnit.MILLISECONDS);
+      executor.schedule(logFailures(task), delay.toMillis(), TimeUnit.MILLISECONDS);
     } catch (RejectedExecutionException e) {
-      LOG.log(System.Logger.Level.DEBUG, "loop: stopped, timer dropped");
+      LOG.log(System.Logger.Level.DEBUG, "loop: stopped, dropping a delayed task");
     }
   }
 
-  /** Runs a task again and again, with a pause between two runs. */
+  /** Runs a task repeatedly, with a fixed delay between the end of a run and the next start. */
   public void every(Duration pause, Runnable task) {
     long millis = pause.toMillis();
-    executor.scheduleWithFixedDelay(guarded(task), millis, millis, TimeUnit.MILLISECONDS);
+    executor.scheduleWithFixedDelay(logFailures(task), millis, millis, TimeUnit.MILLISECONDS);
   }
 
-  /** Returns a result that a task on the loop sets, now or later. */
+  /**
+   * Runs a task on the loop and returns the result that the task emits to its sink, immediately or
+   * later.
+   */
   public <T> Mono<T> ask(Consumer<MonoSink<T>> task) {
     return Mono.create(
         sink ->
@@ -78,7 +82,7 @@
     executor.shutdown();
   }
 
-  private static Runnable guarded(Runnable task) {
+  private static Runnable logFailures(Runnable task) {
     return () -> {
       try {
         task.run();
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/EffectSink.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/EffectSink.java
@@ -3,9 +3,9 @@
 import io.hawthornlb.core.effect.Effect;
 import java.util.List;
 
-/** Carries out effects that leave the instance; called on the decision loop. */
+/** Performs effects outside the decision logic. Called on the decision loop. */
 public interface EffectSink {
 
-  /** Carries out effects in their order. */
+  /** Performs the effects in the given order. */
   void perform(List<Effect> effects);
 }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/EndpointMonitor.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/EndpointMonitor.java
@@ -19,7 +19,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads load reports, cache events and health of endpoints; events reach the decision loop. */
+/**
+ * Polls endpoints for load reports, cache events and health, and passes the results to a listener
+ * on the decision loop.
+ */
 public final class EndpointMonitor {
 
   private static final System.Logger LOG = System.getLogger(EndpointMonitor.class.getName());
@@ -28,37 +31,41 @@
   private final EndpointClient client;
   private final ObjectMapper mapper;
   private final DecisionLoop loop;
-  private final EndpointEvents events;
+  private final EndpointListener listener;
   private final Map<EndpointId, Long> nextCacheEvent = new HashMap<>();
 
   /** Creates a monitor. */
   public EndpointMonitor(
-      EndpointClient client, ObjectMapper mapper, DecisionLoop loop, EndpointEvents events) {
+      EndpointClient client, ObjectMapper mapper, DecisionLoop loop, EndpointListener listener) {
     this.client = client;
     this.mapper = mapper;
     this.loop = loop;
-    this.events = events;
+    this.listener = listener;
   }
 
-  /** Asks endpoints for load and cache events; on the loop. */
+  /**
+   * Requests load reports and new cache events from endpoints. Call this method on the decision
+   * loop.
+   */
   public void poll(List<Endpoint> endpoints) {
     for (Endpoint endpoint : endpoints) {
       EndpointId id = endpoint.id();
-      ask(endpoint.address(), "/v1/load", answer -> loadReport(id, answer));
+      requestReport(endpoint.address(), "/v1/load", answer -> loadReport(id, answer));
       long from = nextCacheEvent.getOrDefault(id, 0L);
-      ask(endpoint.address(), "/v1/cache-events?from=" + from, answer -> cacheEvents(id, answer));
+      requestReport(
+          endpoint.address(), "/v1/cache-events?from=" + from, answer -> cacheEvents(id, answer));
     }
   }
 
-  /** Asks endpoints for their health; on the loop. */
+  /** Probes the health of endpoints. Call this method on the decision loop. */
   public void probe(List<Endpoint> endpoints) {
     for (Endpoint endpoint : endpoints) {
       EndpointId id = endpoint.id();
       client
           .exchange(call(endpoint.address(), "/health"), TIMEOUT)
           .subscribe(
-              answer -> loop.execute(() -> events.observed(id, health(answer))),
-              error -> loop.execute(() -> events.observed(id, Observation.FAILURE)));
+              answer -> loop.execute(() -> listener.onObservation(id, health(answer))),
+              error -> loop.execute(() -> listener.onObservation(id, Observation.FAILURE)));
     }
   }
 
@@ -67,14 +74,14 @@
     void handle(JsonNode answer);
   }
 
-  private void ask(String address, String uri, AnswerHandler handler) {
+  private void requestReport(String address, String uri, AnswerHandler handler) {
     client
         .exchange(call(address, uri), TIMEOUT)
         .subscribe(
             answer -> read(answer, handler),
             error ->
                 LOG.log(
-                    System.Logger.Level.DEBUG, "endpoints: {0}{1} gave no report", address, uri));
+                    System.Logger.Level.DEBUG, "endpoints: no report from {0}{1}", address, uri));
   }
 
   private void read(WholeAnswer answer, AnswerHandler handler) {
@@ -85,7 +92,7 @@
       JsonNode tree = mapper.readTree(answer.body());
       loop.execute(() -> handler.handle(tree));
     } catch (IOException e) {
-      LOG.log(System.Logger.Level.WARNING, "endpoints: unreadable report");
+      LOG.log(System.Logger.Level.WARNING, "endpoints: could not parse a report");
     }
   }
 
@@ -103,7 +110,7 @@
             tree.path("kvTotalTokens").asLong(),
             tree.path("tokensPerSecond").asDouble(),
             tree.path("batch").asInt());
-    events.loaded(id, report);
+    listener.onLoadReport(id, report);
   }
 
   private void cacheEvents(EndpointId id, JsonNode tree) {
@@ -118,7 +125,7 @@
     }
     nextCacheEvent.put(id, tree.path("nextSeq").asLong());
     if (!prefixEvents.isEmpty()) {
-      events.cached(id, prefixEvents);
+      listener.onCacheEvents(id, prefixEvents);
     }
   }
 
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/EndpointWatch.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/EndpointWatch.java
@@ -22,14 +22,14 @@
 import java.util.Optional;
 
 /**
- * Watches the endpoints whose steward this instance is, and tells peers what it sees.
+ * Monitors the endpoints whose dispatcher is this instance, and broadcasts their reports to peers.
  *
- * <p>One entry asks each endpoint, not all of them: at the size of a large fleet the reports alone
- * would otherwise cost each endpoint hundreds of calls a second.
+ * <p>Only the dispatcher polls an endpoint. If all entry instances of a large fleet polled it, the
+ * reports alone would cost each endpoint hundreds of calls a second.
  */
-final class EndpointWatch implements EndpointEvents {
+final class EndpointWatch implements EndpointListener {
 
-  private static final Duration TELL_AGAIN = Duration.ofSeconds(2);
+  private static final Duration REBROADCAST_INTERVAL = Duration.ofSeconds(2);
 
   private final OnlinePolicies policies;
   private final PeerMesh peers;
@@ -39,7 +39,7 @@
   private final EffectSink effects;
   private final InstantSource clock;
   private final EndpointMonitor monitor;
-  private final Map<EndpointId, LoadReport> told = new HashMap<>();
+  private final Map<EndpointId, LoadReport> lastBroadcast = new HashMap<>();
   private final StewardElection election = new RendezvousElection();
 
   EndpointWatch(
@@ -62,76 +62,86 @@
     this.monitor = new EndpointMonitor(client, new ObjectMapper(), loop, this);
   }
 
-  /** Asks endpoints for reports, and for their health where a probe is due; on the loop. */
+  /**
+   * Polls the assigned endpoints, and probes the health of all endpoints whose probe is due. Call
+   * this method on the decision loop.
+   */
   void poll() {
-    List<Endpoint> stewarded = stewarded();
-    batch.dispatchTo(stewarded);
-    monitor.poll(stewarded);
+    List<Endpoint> assigned = assigned();
+    batch.dispatchTo(assigned);
+    monitor.poll(assigned);
     monitor.probe(policies.endpoints().probesDue(clock.instant()));
   }
 
-  /** Tells the steward of an endpoint how many requests of this entry are in flight there. */
-  void tellSteward(EndpointId endpoint) {
+  /**
+   * Sends the number of requests that this instance has in flight at an endpoint to the dispatcher
+   * of the endpoint.
+   */
+  void notifyDispatcher(EndpointId endpoint) {
     int inFlight = policies.inFlight().own(endpoint);
     batch.onOwnRequests(endpoint, inFlight);
     policies
         .endpoints()
         .find(endpoint)
-        .flatMap(this::steward)
-        .filter(steward -> !steward.equals(fleet.self()))
+        .flatMap(this::dispatcher)
+        .filter(dispatcher -> !dispatcher.equals(fleet.self()))
         .ifPresent(
-            steward -> peers.send(steward, new OnlineNotice(fleet.self(), endpoint, inFlight)));
+            dispatcher ->
+                peers.send(dispatcher, new OnlineNotice(fleet.self(), endpoint, inFlight)));
   }
 
-  /** Returns whether a report says anything new, or the last one told is getting old. */
-  private boolean worthTelling(EndpointId endpoint, LoadReport report) {
-    LoadReport last = told.get(endpoint);
-    boolean same =
+  /**
+   * Returns whether to broadcast a report: its counts differ from the last broadcast report, or
+   * that report is at least 2 s older.
+   */
+  private boolean shouldBroadcast(EndpointId endpoint, LoadReport report) {
+    LoadReport last = lastBroadcast.get(endpoint);
+    boolean unchanged =
         last != null
             && last.running() == report.running()
             && last.waiting() == report.waiting()
             && last.batch() == report.batch()
-            && report.asOf().isBefore(last.asOf().plus(TELL_AGAIN));
-    if (!same) {
-      told.put(endpoint, report);
+            && report.asOf().isBefore(last.asOf().plus(REBROADCAST_INTERVAL));
+    if (!unchanged) {
+      lastBroadcast.put(endpoint, report);
     }
-    return !same;
+    return !unchanged;
   }
 
-  private List<Endpoint> stewarded() {
+  private List<Endpoint> assigned() {
     return catalogue.current().catalogue().services().keySet().stream()
         .flatMap(service -> policies.endpoints().of(service).stream())
-        .filter(this::isSteward)
+        .filter(this::isDispatcher)
         .toList();
   }
 
   @Override
-  public void loaded(EndpointId endpoint, LoadReport report) {
+  public void onLoadReport(EndpointId endpoint, LoadReport report) {
     LoadReport completed = batch.completeReport(endpoint, report);
     policies.endpoints().onLoad(endpoint, completed, clock.instant());
-    if (worthTelling(endpoint, completed)) {
-      peers.spread(new LoadNotice(endpoint, completed), SpreadScope.FLEET);
+    if (shouldBroadcast(endpoint, completed)) {
+      peers.broadcast(new LoadNotice(endpoint, completed), SpreadScope.FLEET);
     }
   }
 
   @Override
-  public void cached(EndpointId endpoint, List<PrefixEvent> events) {
+  public void onCacheEvents(EndpointId endpoint, List<PrefixEvent> events) {
     policies.prefixes().onEvents(endpoint, events, clock.instant());
-    peers.spread(new CacheNotice(endpoint, events), SpreadScope.FLEET);
+    peers.broadcast(new CacheNotice(endpoint, events), SpreadScope.FLEET);
   }
 
   @Override
-  public void observed(EndpointId endpoint, Observation observation) {
+  public void onObservation(EndpointId endpoint, Observation observation) {
     effects.perform(policies.endpoints().onObservation(endpoint, observation, clock.instant()));
   }
 
-  private boolean isSteward(Endpoint endpoint) {
-    return steward(endpoint).filter(fleet.self()::equals).isPresent();
+  private boolean isDispatcher(Endpoint endpoint) {
+    return dispatcher(endpoint).filter(fleet.self()::equals).isPresent();
   }
 
-  private Optional<InstanceId> steward(Endpoint endpoint) {
-    Collection<InstanceId> here = fleet.in(endpoint.dataCentre());
-    Collection<InstanceId> candidates = here.isEmpty() ? fleet.entries().keySet() : here;
+  private Optional<InstanceId> dispatcher(Endpoint endpoint) {
+    Collection<InstanceId> local = fleet.in(endpoint.dataCentre());
+    Collection<InstanceId> candidates = local.isEmpty() ? fleet.entries().keySet() : local;
     return election.steward(endpoint.id(), candidates);
   }
 }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/EntryProcess.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/EntryProcess.java
@@ -33,20 +33,20 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 
-/** One running entry instance, from its start to its graceful stop. */
+/** A running entry instance. Wires the components, and starts and gracefully stops them. */
 public final class EntryProcess implements AutoCloseable {
 
   private static final System.Logger LOG = System.getLogger(EntryProcess.class.getName());
-  private static final Duration TICK = Duration.ofMillis(50);
-  private static final Duration RUN_ONCE_TICK = Duration.ofMillis(5);
-  private static final Duration CONTROL_TICK = Duration.ofMillis(250);
-  private static final Duration REPORT_PAUSE = Duration.ofSeconds(1);
-  private static final Duration DEMAND_PAUSE = Duration.ofSeconds(1);
-  private static final Duration ANNOUNCE_PAUSE = Duration.ofSeconds(2);
-  private static final Duration LIST_PAUSE = Duration.ofSeconds(1);
-  private static final Duration STOP_CHECK = Duration.ofMillis(50);
-  private static final Duration HAND_OVER_TIME = Duration.ofSeconds(5);
-  private static final Duration WITHDRAW_TIME = Duration.ofSeconds(2);
+  private static final Duration TICK_INTERVAL = Duration.ofMillis(50);
+  private static final Duration RUN_ONCE_TICK_INTERVAL = Duration.ofMillis(5);
+  private static final Duration CONTROL_INTERVAL = Duration.ofMillis(250);
+  private static final Duration REPORT_INTERVAL = Duration.ofSeconds(1);
+  private static final Duration DEMAND_INTERVAL = Duration.ofSeconds(1);
+  private static final Duration ANNOUNCE_INTERVAL = Duration.ofSeconds(2);
+  private static final Duration LIST_POLL_INTERVAL = Duration.ofSeconds(1);
+  private static final Duration STOP_POLL_INTERVAL = Duration.ofMillis(50);
+  private static final Duration HAND_OVER_TIMEOUT = Duration.ofSeconds(5);
+  private static final Duration WITHDRAW_TIMEOUT = Duration.ofSeconds(2);
 
   private final EntrySettings settings;
   private final InstantSource clock = new MonotonicInstantSource();
@@ -116,12 +116,12 @@
     this.watch =
         new EndpointWatch(
             policies, peers, fleet, catalogue, batch, effects, endpoints, loop, clock);
-    policies.inFlight().listener(watch::tellSteward);
+    policies.inFlight().listener(watch::notifyDispatcher);
     startPeers();
     this.server = EntryServer.start(settings.http(), services());
   }
 
-  /** Starts an instance and returns it once it listens. */
+  /** Starts an instance and returns it once it listens for connections. */
   public static EntryProcess start(EntrySettings settings) {
     EntryProcess process = new EntryProcess(settings);
     process.startTasks();
@@ -133,22 +133,22 @@
     return process;
   }
 
-  /** Returns the port for callers. */
+  /** Returns the HTTP port for callers. */
   public int port() {
     return server.port();
   }
 
-  /** Returns host and port for peers. */
+  /** Returns the host and port for peers. */
   public String peerAddress() {
     return peers.listeningAddress();
   }
 
-  /** Returns the catalogue in force on this instance. */
+  /** Returns the current catalogue of this instance. */
   public CatalogueHolder catalogue() {
     return catalogue;
   }
 
-  /** Finishes the requests in progress within the drain time, then ends everything. */
+  /** Waits for the requests in progress, at most for the drain time, then stops all components. */
   @Override
   public void close() {
     stopping = true;
@@ -156,11 +156,11 @@
     loop.execute(decisions::stop);
     awaitOnLoop(this::idle, settings.limits().drain(), "requests");
     loop.execute(batch::stop);
-    awaitOnLoop(batch::settled, HAND_OVER_TIME, "reports on items");
+    awaitOnLoop(batch::settled, HAND_OVER_TIMEOUT, "reports on items");
     loop.execute(partitions.hosts()::drain);
-    awaitOnLoop(partitions.hosts()::drained, HAND_OVER_TIME, "records");
+    awaitOnLoop(partitions.hosts()::drained, HAND_OVER_TIMEOUT, "records");
     loop.execute(control::stop);
-    awaitOnLoop(control::stopped, HAND_OVER_TIME, "claims");
+    awaitOnLoop(control::stopped, HAND_OVER_TIMEOUT, "claims");
     withdraw();
     server.close();
     peers.close();
@@ -203,7 +203,7 @@
             decisions, endpoints, new ObjectMapper(), clock, EntryProcess::requestId),
         partitions.runOnce(),
         catalogue,
-        this::obstacles,
+        this::readinessFindings,
         meters,
         List.of(
             clock,
@@ -220,23 +220,23 @@
   private void startTasks() {
     control.start(new PeerRecordSource(peers.transport()));
     control.onClaims(partitions.hosts()::followClaims);
-    loop.every(TICK, decisions::tick);
-    loop.every(TICK, partitions::tick);
-    loop.every(RUN_ONCE_TICK, partitions.hosts()::tickRunOnce);
-    loop.every(TICK, batch::tick);
-    loop.every(CONTROL_TICK, batch::sendBacklogs);
-    loop.every(REPORT_PAUSE, batch::resendReports);
-    loop.every(CONTROL_TICK, exchange::sendInFlight);
-    loop.every(DEMAND_PAUSE, exchange::sendDemand);
-    loop.every(CONTROL_TICK, control::tick);
-    loop.every(CONTROL_TICK, watch::poll);
-    loop.every(CONTROL_TICK, this::updateCapacity);
-    new InstanceListPoller(loop, peerList, this::takeList, LIST_PAUSE).start();
+    loop.every(TICK_INTERVAL, decisions::tick);
+    loop.every(TICK_INTERVAL, partitions::tick);
+    loop.every(RUN_ONCE_TICK_INTERVAL, partitions.hosts()::tickRunOnce);
+    loop.every(TICK_INTERVAL, batch::tick);
+    loop.every(CONTROL_INTERVAL, batch::sendBacklogs);
+    loop.every(REPORT_INTERVAL, batch::resendReports);
+    loop.every(CONTROL_INTERVAL, exchange::sendInFlight);
+    loop.every(DEMAND_INTERVAL, exchange::sendDemand);
+    loop.every(CONTROL_INTERVAL, control::tick);
+    loop.every(CONTROL_INTERVAL, watch::poll);
+    loop.every(CONTROL_INTERVAL, this::updateCapacity);
+    new InstanceListPoller(loop, peerList, this::onInstanceList, LIST_POLL_INTERVAL).start();
     announce(ListedState.LIVE);
-    loop.every(ANNOUNCE_PAUSE, this::repeatAnnouncement);
+    loop.every(ANNOUNCE_INTERVAL, this::repeatAnnouncement);
   }
 
-  private void takeList(InstanceList list) {
+  private void onInstanceList(InstanceList list) {
     Instant now = clock.instant();
     policies.endpoints().onList(list.processes(), list.asOf(), now);
     Set<InstanceId> before = fleet.entries().keySet();
@@ -252,7 +252,7 @@
 
   private void updateCapacity() {
     policies.admission().onCatalogue(catalogue.current().catalogue());
-    CapacityCount count = new CapacityCount(policies.endpoints());
+    CapacityCounter count = new CapacityCounter(policies.endpoints());
     catalogue.current().catalogue().services().values().stream()
         .forEach(
             service ->
@@ -280,7 +280,8 @@
                 state))
         .exceptionally(
             failure -> {
-              LOG.log(System.Logger.Level.INFO, "instances: could not announce {0}", state);
+              LOG.log(
+                  System.Logger.Level.INFO, "instances: could not announce the state {0}", state);
               return null;
             });
   }
@@ -291,11 +292,12 @@
       instances
           .withdraw(fleet.self().value())
           .toCompletableFuture()
-          .get(WITHDRAW_TIME.toMillis(), TimeUnit.MILLISECONDS);
+          .get(WITHDRAW_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     } catch (java.util.concurrent.ExecutionException | java.util.concurrent.TimeoutException e) {
-      LOG.log(System.Logger.Level.INFO, "instances: could not withdraw, the list will notice");
+      LOG.log(
+          System.Logger.Level.INFO, "instances: could not withdraw this instance from the list");
     }
   }
 
@@ -307,16 +309,16 @@
         return;
       }
       try {
-        TimeUnit.MILLISECONDS.sleep(STOP_CHECK.toMillis());
+        TimeUnit.MILLISECONDS.sleep(STOP_POLL_INTERVAL.toMillis());
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
         return;
       }
     }
-    LOG.log(System.Logger.Level.WARNING, "entry: stops with {0} left", what);
+    LOG.log(System.Logger.Level.WARNING, "entry: stopping with unfinished {0}", what);
   }
 
-  private List<Finding> obstacles() {
+  private List<Finding> readinessFindings() {
     List<Finding> found = new ArrayList<>();
     if (stopping) {
       found.add(new Finding("entry", 0, "", "stopping"));
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/EntryServer.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/EntryServer.java
@@ -13,11 +13,11 @@
 import java.util.List;
 import java.util.Map;
 
-/** The HTTP server that callers and operators reach. */
+/** The HTTP server for callers and operators. */
 public final class EntryServer implements AutoCloseable {
 
   private static final int EVENT_LOOP_THREADS = 2;
-  private static final long MOST_STREAMED_BYTES = 1L << 30;
+  private static final long MAX_STREAMED_BYTES = 1L << 30;
 
   private final ApplicationContext context;
   private final EmbeddedServer server;
@@ -27,7 +27,7 @@
     this.server = context.getBean(EmbeddedServer.class);
   }
 
-  /** Starts a server with the parts that its controllers need. */
+  /** Starts a server with the services that its controllers use. */
   public static EntryServer start(HttpSettings settings, Services services) {
     ApplicationContext context =
         ApplicationContext.builder()
@@ -57,7 +57,7 @@
     properties.put("micronaut.server.host", settings.address().host());
     properties.put(
         "micronaut.server.port", settings.address().port() == 0 ? -1 : settings.address().port());
-    properties.put("micronaut.server.max-request-size", MOST_STREAMED_BYTES);
+    properties.put("micronaut.server.max-request-size", MAX_STREAMED_BYTES);
     properties.put("micronaut.server.max-request-buffer-size", settings.bodyLimit());
     properties.put("micronaut.server.idle-timeout", "10m");
     properties.put("micronaut.server.netty.keep-alive-on-server-error", false);
@@ -67,14 +67,14 @@
   }
 
   /**
-   * What the controllers use.
+   * The services that the controllers use.
    *
    * @param chat serves chat completions
    * @param plain serves calls to plain services
-   * @param catalogue the catalogue in force
-   * @param readiness whether requests are taken
-   * @param meters all meters
-   * @param further parts of further controllers
+   * @param catalogue provides the current catalogue
+   * @param readiness reports whether the instance is ready for requests
+   * @param meters the registry of all metrics
+   * @param further the beans of other controllers
    */
   public record Services(
       ChatService chat,
@@ -84,15 +84,15 @@
       PrometheusMeterRegistry meters,
       List<Object> further) {
 
-    /** Copies the further parts. */
+    /** Copies the list of further beans. */
     public Services {
       further = List.copyOf(further);
     }
 
     private Object[] all() {
-      List<Object> parts = new ArrayList<>(List.of(chat, plain, catalogue, readiness, meters));
-      parts.addAll(further);
-      return parts.toArray();
+      List<Object> beans = new ArrayList<>(List.of(chat, plain, catalogue, readiness, meters));
+      beans.addAll(further);
+      return beans.toArray();
     }
   }
 }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/FleetView.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/FleetView.java
@@ -10,21 +10,21 @@
 import java.util.TreeMap;
 import java.util.stream.Collectors;
 
-/** The entries of the fleet as the platform last listed them, this one always included. */
+/** The entry instances in the last list of the platform. Always includes this instance. */
 public final class FleetView {
 
   private final InstanceId self;
   private final DataCentre dataCentre;
   private volatile Map<InstanceId, DataCentre> entries;
 
-  /** Creates a view that knows this instance only. */
+  /** Creates a view that contains only this instance. */
   public FleetView(InstanceId self, DataCentre dataCentre) {
     this.self = self;
     this.dataCentre = dataCentre;
     this.entries = Map.of(self, dataCentre);
   }
 
-  /** Takes the platform's list. */
+  /** Replaces the entry instances by those in a list of the platform. */
   public void update(List<ListedProcess> processes) {
     Map<InstanceId, DataCentre> listed = new TreeMap<>();
     for (ListedProcess process : processes) {
@@ -46,12 +46,12 @@
     return dataCentre;
   }
 
-  /** Returns all entries with their data centres. */
+  /** Returns all entry instances with their data centres. */
   public Map<InstanceId, DataCentre> entries() {
     return entries;
   }
 
-  /** Returns the entries of a data centre. */
+  /** Returns the entry instances of a data centre. */
   public Set<InstanceId> in(DataCentre place) {
     return entries.entrySet().stream()
         .filter(entry -> entry.getValue().equals(place))
@@ -59,7 +59,7 @@
         .collect(Collectors.toUnmodifiableSet());
   }
 
-  /** Returns the data centres in which entries run. */
+  /** Returns the data centres that have entry instances. */
   public Set<DataCentre> dataCentres() {
     return Set.copyOf(entries.values());
   }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/InstanceListAnswer.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/InstanceListAnswer.java
@@ -5,8 +5,9 @@
 import java.util.Optional;
 
 /**
- * Gives the last list of instances that a peer has.
+ * Answers an {@link InstanceListRequest} with the last list of instances that the peer has
+ * received.
  *
- * @param list the list; empty if it has none
+ * @param list the list; empty if the peer has none
  */
 public record InstanceListAnswer(Optional<InstanceList> list) implements PeerMessage {}
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/InstanceListPoller.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/InstanceListPoller.java
@@ -5,7 +5,7 @@
 import java.time.Duration;
 import java.util.function.Consumer;
 
-/** Asks the platform for its list again and again and hands it to the decision loop. */
+/** Polls the platform for the list of instances and passes each list to the decision loop. */
 public final class InstanceListPoller {
 
   private static final System.Logger LOG = System.getLogger(InstanceListPoller.class.getName());
@@ -16,7 +16,7 @@
   private final Duration pause;
   private boolean reachable = true;
 
-  /** Creates a poller that waits {@code pause} between an answer and the next question. */
+  /** Creates a poller that waits for {@code pause} between an answer and the next request. */
   public InstanceListPoller(
       DecisionLoop loop,
       InstanceListClient client,
@@ -28,7 +28,7 @@
     this.pause = pause;
   }
 
-  /** Asks for the first time. */
+  /** Sends the first request. */
   public void start() {
     client
         .list()
@@ -48,7 +48,9 @@
     if (now != reachable) {
       LOG.log(
           System.Logger.Level.INFO,
-          now ? "instances: list is back" : "instances: list is away, going on with the last one");
+          now
+              ? "instances: list is available again"
+              : "instances: list is unavailable; using the last known list");
     }
     reachable = now;
   }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/InstanceListRequest.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/InstanceListRequest.java
@@ -3,6 +3,7 @@
 import io.hawthornlb.core.peer.PeerMessage;
 
 /**
- * Asks a peer for the last list of instances that it has; answered by {@link InstanceListAnswer}.
+ * Requests the last list of instances that a peer has received. The peer answers with {@link
+ * InstanceListAnswer}.
  */
 public record InstanceListRequest() implements PeerMessage {}
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/LoadNotice.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/LoadNotice.java
@@ -5,9 +5,9 @@
 import io.hawthornlb.core.peer.PeerMessage;
 
 /**
- * Tells peers what an endpoint said about its load.
+ * Sends the load report of an endpoint to peers.
  *
  * @param endpoint the endpoint
- * @param report what it said
+ * @param report the load report
  */
 public record LoadNotice(EndpointId endpoint, LoadReport report) implements PeerMessage {}
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/LogAccess.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/LogAccess.java
@@ -28,19 +28,19 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.ScheduledExecutorService;
 
-/** The platform's log as one instance uses it: one writer, and a follower a stream. */
+/** Access of one instance to the platform's log: one writer, and one follower for each stream. */
 public final class LogAccess implements AutoCloseable {
 
-  private static final int KEPT_RECORDS = 4_000;
-  private static final long KEPT_BYTES = 2 << 20;
+  private static final int MAX_RECENT_RECORDS = 4_000;
+  private static final long MAX_RECENT_BYTES = 2 << 20;
 
   /**
-   * Small pages: a record holds up to 48 KiB of items.
+   * Limits pages to 32 records, since a record contains up to 48 KiB of items.
    *
-   * <p>Pages of hundreds of them exceed the direct memory of a small instance, which shows as a
-   * follower whose reads all fail while the platform is well.
+   * <p>Pages with hundreds of such records exceed the direct memory of a small instance. In that
+   * case all reads of a follower fail, although the platform works.
    */
-  private static final FollowerSettings PAGES =
+  private static final FollowerSettings FOLLOWER_SETTINGS =
       new FollowerSettings(
           32,
           Duration.ofSeconds(1),
@@ -56,7 +56,7 @@
   private final InstantSource clock;
   private final Map<StreamName, RecentRecords> recent = new ConcurrentHashMap<>();
 
-  /** Creates access without any follower. */
+  /** Creates the access, without any follower. */
   public LogAccess(URI platform, DecisionLoop loop, InstantSource clock) {
     this.client = new HttpPlatformLogClient(platform);
     this.codec = new RecordCodec(recordTypes());
@@ -84,22 +84,28 @@
     return codec;
   }
 
-  /** Appends a record and returns the offset of an occurrence of it. */
+  /**
+   * Appends a record and returns an offset at which the log contains it. A resent record may occur
+   * in the log more than once.
+   */
   public CompletionStage<Long> append(AppendRecord effect) {
     return writer.append(effect);
   }
 
-  /** Feeds a stream to a fold on the decision loop until the follower is closed. */
+  /**
+   * Applies the records of a stream to a fold on the decision loop until the follower is closed.
+   */
   public StreamFollower follow(
       StreamName stream, SnapshotFold fold, MissedRecordSource missed, RecordListener listener) {
     RecentRecords kept =
-        recent.computeIfAbsent(stream, key -> new RecentRecords(KEPT_RECORDS, KEPT_BYTES));
+        recent.computeIfAbsent(
+            stream, key -> new RecentRecords(MAX_RECENT_RECORDS, MAX_RECENT_BYTES));
     StreamFollower follower =
         StreamFollower.builder(stream, fold, client, codec)
             .executors(loop, timers)
             .clock(clock)
             .random(new SplittableRandom())
-            .settings(PAGES)
+            .settings(FOLLOWER_SETTINGS)
             .missed(missed)
             .recent(kept)
             .listener(
@@ -112,7 +118,7 @@
     return follower;
   }
 
-  /** Returns the records of a stream that are kept for peers. */
+  /** Returns the recent records of a stream, which are kept in memory for peers. */
   public Optional<RecentRecords> recent(StreamName stream) {
     return Optional.ofNullable(recent.get(stream));
   }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/MessageHandlers.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/MessageHandlers.java
@@ -7,12 +7,12 @@
 import java.util.concurrent.CompletionStage;
 import java.util.function.Consumer;
 
-/** Makes handlers of messages that have no answer. */
+/** Creates handlers of one-way messages, which have no answer. */
 public final class MessageHandlers {
 
   private MessageHandlers() {}
 
-  /** Returns a handler that hands each message to a consumer. */
+  /** Returns a handler that passes each message to a consumer and sends no answer. */
   public static <M extends PeerMessage> PeerHandler<M> oneWay(Consumer<M> consumer) {
     return new PeerHandler<>() {
       @Override
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/MissedRecordsAnswer.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/MissedRecordsAnswer.java
@@ -4,8 +4,8 @@
 import io.hawthornlb.net.platform.LogPage;
 
 /**
- * Gives records that a peer has read; empty where it has none.
+ * Answers a {@link MissedRecordsRequest} with records that the peer has read from the log.
  *
- * @param page the records
+ * @param page the records; empty if the peer has none of the requested records
  */
 public record MissedRecordsAnswer(LogPage page) implements PeerMessage {}
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/MissedRecordsHandler.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/MissedRecordsHandler.java
@@ -8,10 +8,10 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionStage;
 
-/** Gives peers the records that this instance has read. */
+/** Answers peers with recent log records that this instance has read. */
 final class MissedRecordsHandler implements PeerHandler<MissedRecordsRequest> {
 
-  private static final int MOST_RECORDS = 500;
+  private static final int MAX_RECORDS = 500;
 
   private final LogAccess log;
 
@@ -21,11 +21,11 @@
 
   @Override
   public CompletionStage<PeerMessage> handle(InstanceId sender, MissedRecordsRequest request) {
-    LogPage nothing = new LogPage(List.of(), request.from(), request.from());
+    LogPage empty = new LogPage(List.of(), request.from(), request.from());
     LogPage page =
         log.recent(request.stream())
-            .map(kept -> kept.from(request.from(), Math.min(MOST_RECORDS, request.max())))
-            .orElse(nothing);
+            .map(kept -> kept.from(request.from(), Math.min(MAX_RECORDS, request.max())))
+            .orElse(empty);
     return CompletableFuture.completedFuture(new MissedRecordsAnswer(page));
   }
 }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/MissedRecordsRequest.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/MissedRecordsRequest.java
@@ -4,10 +4,10 @@
 import io.hawthornlb.core.peer.PeerMessage;
 
 /**
- * Asks a peer for records that it has read.
+ * Requests records that a peer has read from the log.
  *
- * @param stream the stream
- * @param from the first offset wanted
- * @param max how many, at most
+ * @param stream the stream of the records
+ * @param from the first requested offset
+ * @param max the maximum number of records
  */
 public record MissedRecordsRequest(StreamName stream, long from, int max) implements PeerMessage {}
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/MonotonicInstantSource.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/MonotonicInstantSource.java
@@ -4,9 +4,9 @@
 import java.time.InstantSource;
 
 /**
- * A clock that starts with the machine's time and never jumps.
+ * A monotonic clock that starts at the system time.
  *
- * <p>A step of the machine's clock would end leases and deadlines of requests in progress.
+ * <p>A step of the system clock would otherwise end leases and deadlines of requests in progress.
  */
 public final class MonotonicInstantSource implements InstantSource {
 
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/NotifyingInFlightTracker.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/NotifyingInFlightTracker.java
@@ -9,10 +9,11 @@
 import java.util.function.Consumer;
 
 /**
- * Tells a listener of each change of the own requests in flight at an endpoint.
+ * Notifies a listener of each change in the number of requests that this instance has in flight at
+ * an endpoint.
  *
- * <p>The steward of the endpoint hears of a burst by this at once; by the digests, it would hear
- * only at the next tick.
+ * <p>The notification informs the dispatcher of the endpoint about a burst immediately. A digest
+ * would inform the dispatcher only at the next tick.
  */
 public final class NotifyingInFlightTracker implements InFlightTracker {
 
@@ -23,7 +24,7 @@
     this.tracker = tracker;
   }
 
-  /** Sets who hears of changes; nobody by default. */
+  /** Sets the listener. By default there is none. */
   public void listener(Consumer<EndpointId> value) {
     listener = value;
   }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/OnlinePolicies.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/OnlinePolicies.java
@@ -9,16 +9,16 @@
 import io.hawthornlb.core.suspect.SuspectTable;
 
 /**
- * The deciders that online requests meet, all confined to the decision loop.
+ * The policies for online requests. All of them are confined to the decision loop.
  *
- * @param endpoints which endpoints are in service
- * @param router where a request goes
- * @param admission when it starts
- * @param shares how limits of the fleet are divided between entries
- * @param retries whether it is tried again
- * @param suspects whether it crashes endpoints
- * @param inFlight what is in flight where
- * @param prefixes which endpoint holds which prefix
+ * @param endpoints the endpoints and their state
+ * @param router chooses the endpoint of a request
+ * @param admission decides when a request starts
+ * @param shares divides the limits of the fleet between entry instances
+ * @param retries decides whether a failed request is attempted again
+ * @param suspects identifies requests that may crash endpoints
+ * @param inFlight counts the requests in flight at each endpoint
+ * @param prefixes maps prompt prefixes to the endpoints that have cached them
  */
 public record OnlinePolicies(
     EndpointTable endpoints,
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/SuspectRuns.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/OnlineSuspectTracker.java
@@ -11,14 +11,17 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 
-/** Holds online requests to what is known of requests that crash endpoints; used on the loop. */
-final class SuspectRuns {
+/**
+ * Applies the table of suspects, which are requests that may crash endpoints, to online requests.
+ * Used on the decision loop.
+ */
+final class OnlineSuspectTracker {
 
   private final OnlinePolicies policies;
   private final EffectSink effects;
   private final InstantSource clock;
 
-  SuspectRuns(OnlinePolicies policies, EffectSink effects, InstantSource clock) {
+  OnlineSuspectTracker(OnlinePolicies policies, EffectSink effects, InstantSource clock) {
     this.policies = policies;
     this.effects = effects;
     this.clock = clock;
@@ -28,14 +31,14 @@
     return policies.suspects().judge(state.request().fingerprint(), candidates(state, now), now);
   }
 
-  /** Takes that a suspect starts alone at an endpoint. */
-  void started(ActiveRequest state, EndpointId endpoint, Instant now) {
+  /** Reports that a suspect has started alone at an endpoint. */
+  void aloneStarted(ActiveRequest state, EndpointId endpoint, Instant now) {
     effects.perform(
         policies.suspects().onAloneStarted(state.request().fingerprint(), endpoint, now));
   }
 
-  /** Clears a request that ran alone and crashed nothing. */
-  void succeeded(ActiveRequest state, EndpointId endpoint) {
+  /** Clears a suspect that ran alone without crashing the endpoint. */
+  void aloneSucceeded(ActiveRequest state, EndpointId endpoint) {
     if (state.alone()) {
       effects.perform(
           policies
@@ -45,14 +48,13 @@
   }
 
   /**
-   * Opens the endpoint that was kept for a suspect.
+   * Ends the quarantine of the endpoint where a suspect ran alone, whatever the outcome of the run.
    *
-   * <p>Failure: an engine that crashed is tried again before the list lacks it, a suspect is sent
-   * there alone and finds no listener, or its caller leaves. It shows as requests that hang until
-   * their deadline, since the suspect seems to run alone for two minutes. Guard: whichever way a
-   * run alone ends, its endpoint is open again.
+   * <p>A run can also end because the endpoint has crashed but is still listed, so that the suspect
+   * finds no listener there, or because the caller disconnects. Without this call the suspect would
+   * seem to run alone for two minutes, and other requests would hang until their deadline.
    */
-  void left(ActiveRequest state, EndpointId endpoint) {
+  void aloneEnded(ActiveRequest state, EndpointId endpoint) {
     if (state.alone()) {
       effects.perform(
           policies
@@ -61,21 +63,21 @@
     }
   }
 
-  /** Counts a crash for all requests that ran there. */
-  void crashed(EndpointId endpoint, List<OnlineRequest> running, Instant now) {
+  /** Counts a crash of an endpoint for all requests that ran there. */
+  void endpointCrashed(EndpointId endpoint, List<OnlineRequest> running, Instant now) {
     List<Fingerprint> fingerprints =
         running.stream().map(OnlineRequest::fingerprint).distinct().toList();
     effects.perform(policies.suspects().onCrash(endpoint, fingerprints, now));
   }
 
-  /** Sends notices again that may have been lost, and forgets old suspects. */
+  /** Resends notices that may have been lost, and removes old suspects. */
   void tick(Instant now) {
     effects.perform(policies.suspects().onTick(now));
   }
 
   /**
-   * Returns the endpoints that may run a suspect alone: those that take work and have not failed
-   * this request, or else all that take work.
+   * Returns the endpoints that may run a suspect alone: the accepting endpoints at which this
+   * request has not failed, or all accepting endpoints if there are none of these.
    */
   private Set<EndpointId> candidates(ActiveRequest state, Instant now) {
     Set<EndpointId> accepting =
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/OutwardEffects.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/OutwardEffects.java
@@ -6,7 +6,7 @@
 import io.hawthornlb.core.effect.SpreadPeerMessage;
 import java.util.List;
 
-/** Carries out the effects that go to the log and to peers. */
+/** Performs effects that append to the log or send messages to peers. */
 public final class OutwardEffects implements EffectSink {
 
   private static final System.Logger LOG = System.getLogger(OutwardEffects.class.getName());
@@ -34,16 +34,16 @@
               failure -> {
                 LOG.log(
                     System.Logger.Level.WARNING,
-                    "log: a record of stream {0} was given up",
+                    "log: could not append a record to stream {0}",
                     append.stream());
                 return -1L;
               });
     } else if (effect instanceof SendPeerMessage send) {
       loop.execute(() -> peers.send(send.target(), send.message()));
-    } else if (effect instanceof SpreadPeerMessage spread) {
-      peers.spread(spread.message(), spread.scope());
+    } else if (effect instanceof SpreadPeerMessage broadcast) {
+      peers.broadcast(broadcast.message(), broadcast.scope());
     } else {
-      throw new IllegalArgumentException("no adapter carries out " + effect + "; add one");
+      throw new IllegalArgumentException("unsupported effect " + effect);
     }
   }
 }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/PeerInstanceList.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/PeerInstanceList.java
@@ -14,10 +14,11 @@
 import java.util.concurrent.atomic.AtomicReference;
 
 /**
- * The list of instances, from a peer where the platform does not answer and nothing is known yet.
+ * Reads the list of instances from the platform, or from a peer if the platform does not answer and
+ * this instance has no list yet.
  *
- * <p>An instance that starts while the platform is away would otherwise know no endpoint, and
- * refuse every request although its peers go on serving.
+ * <p>An instance that starts while the platform is unreachable would otherwise know no endpoint,
+ * and would refuse every request although its peers continue to serve.
  */
 final class PeerInstanceList implements InstanceListClient, PeerHandler<InstanceListRequest> {
 
@@ -41,7 +42,7 @@
         .handle(
             (list, failure) ->
                 list != null || last.get().isPresent()
-                    ? known(list, failure)
+                    ? platformResult(list, failure)
                     : askPeer(failure).thenApply(this::keep))
         .thenCompose(stage -> stage);
   }
@@ -66,7 +67,8 @@
     return list;
   }
 
-  private static CompletionStage<InstanceList> known(InstanceList list, Throwable failure) {
+  private static CompletionStage<InstanceList> platformResult(
+      InstanceList list, Throwable failure) {
     return list != null
         ? CompletableFuture.completedFuture(list)
         : CompletableFuture.failedFuture(failure);
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/PeerMesh.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/PeerMesh.java
@@ -36,24 +36,24 @@
 import java.util.concurrent.ThreadLocalRandom;
 import org.jspecify.annotations.Nullable;
 
-/** Talks to the other entries of the fleet. */
+/** Exchanges messages with the other entry instances of the fleet. */
 public final class PeerMesh implements AutoCloseable {
 
   private static final int THREADS = 2;
-  private static final int CONNECTED_PEERS = 32;
+  private static final int MAX_CONNECTED_PEERS = 32;
 
   private final FleetView fleet;
   private final long relayKey;
   private final MessagePackCodec<PeerMessage> codec;
   private final EventLoopGroup eventLoops = new NioEventLoopGroup(THREADS);
   private final PeerNode node;
-  private final KnownEntries known;
+  private final ConfiguredEntries configured;
   private final PeerClient client;
   private final InetSocketAddress address;
   private @Nullable PeerServer server;
   private @Nullable PeerHandlerRegistry handlers;
 
-  /** Creates a mesh that does not listen yet. */
+  /** Creates a mesh that does not listen for connections yet. */
   public PeerMesh(EntrySettings settings, FleetView fleet, MessagePackCodec<PeerMessage> codec) {
     this.fleet = fleet;
     this.relayKey = Hashing.wyhashFinal4().hashCharsToLong(fleet.self().value());
@@ -62,17 +62,17 @@
     this.node =
         new PeerNode(
             fleet.self(), codec, security(peers.tls(), eventLoops), peers.options(), eventLoops);
-    this.known = new KnownEntries(peers.knownProcesses());
+    this.configured = new ConfiguredEntries(peers.knownProcesses());
     this.client =
         new NettyPeerClient(
             node,
             peers.knownProcesses(),
-            new NearbyPeerSelector(fleet.self(), fleet.dataCentre(), CONNECTED_PEERS),
+            new NearbyPeerSelector(fleet.self(), fleet.dataCentre(), MAX_CONNECTED_PEERS),
             new SharedRandom());
     this.address = new InetSocketAddress(peers.address().host(), peers.address().port());
   }
 
-  /** Listens, and hands messages to handlers on an executor. */
+  /** Starts to listen, and passes received messages to their handlers on an executor. */
   public void start(PeerHandlerRegistry.Builder builder, Executor executor) {
     PeerHandlerRegistry registry =
         builder.register(RelayedMessage.class, new RelayHandler()).build();
@@ -80,21 +80,21 @@
     server = new NettyPeerServer(node, address, registry, executor);
   }
 
-  /** Returns host and port to announce. */
+  /** Returns the host and port to announce to peers. */
   public String listeningAddress() {
     PeerServer started = server;
     if (started == null) {
-      throw new IllegalStateException("the mesh has not started; start it first");
+      throw new IllegalStateException("the peer mesh has not been started");
     }
     return address.getAddress().getHostAddress() + ":" + started.address().getPort();
   }
 
-  /** Returns the transport of single messages. */
+  /** Returns the transport for messages to single peers. */
   public PeerTransport transport() {
     return client;
   }
 
-  /** Sends a message; one to this instance itself is handled at once. */
+  /** Sends a message. A message to this instance itself is handled before this method returns. */
   public void send(InstanceId target, PeerMessage message) {
     if (target.equals(fleet.self())) {
       handle(target, message);
@@ -103,19 +103,19 @@
     }
   }
 
-  /** Takes the entries that the platform lists. */
+  /** Sets the peers from a list of the platform, extended by the configured entry instances. */
   public void update(List<ListedProcess> processes) {
-    client.updatePeers(known.complete(processes));
+    client.updatePeers(configured.complete(processes));
   }
 
   /**
-   * Sends a message to every other entry within a scope.
+   * Sends a message to every other entry instance within a scope.
    *
-   * <p>Of each other data centre one reachable entry receives it and passes it on there, so that
-   * the links between data centres carry it once.
+   * <p>In each other data centre, one entry instance receives the message and relays it to the
+   * others there. So the links between data centres carry the message only once.
    */
-  public void spread(PeerMessage message, SpreadScope scope) {
-    spreadHere(message);
+  public void broadcast(PeerMessage message, SpreadScope scope) {
+    broadcastLocally(message);
     if (scope == SpreadScope.FLEET) {
       RelayedMessage relayed = new RelayedMessage(codec.encode(message));
       for (DataCentre other : fleet.dataCentres()) {
@@ -136,7 +136,7 @@
     eventLoops.shutdownGracefully();
   }
 
-  private void spreadHere(PeerMessage message) {
+  private void broadcastLocally(PeerMessage message) {
     for (InstanceId peer : fleet.in(fleet.dataCentre())) {
       if (!peer.equals(fleet.self())) {
         client.send(peer, message);
@@ -152,13 +152,15 @@
   }
 
   /**
-   * Returns the entry of a data centre that passes this instance's messages on there.
+   * Returns the entry instance of a data centre that relays the messages of this instance there.
+   * Prefers a reachable instance.
    *
-   * <p>Each sender has another one, so that no entry carries the messages of the whole fleet.
+   * <p>Rendezvous hashing spreads the senders over the relays, so that no instance relays the
+   * messages of the whole fleet.
    */
-  private Optional<InstanceId> relay(DataCentre place) {
+  private Optional<InstanceId> relay(DataCentre target) {
     Set<InstanceId> reachable = client.reachable();
-    List<InstanceId> ranked = new RendezvousHash(fleet.in(place)).ranked(relayKey);
+    List<InstanceId> ranked = new RendezvousHash(fleet.in(target)).ranked(relayKey);
     return ranked.stream()
         .filter(reachable::contains)
         .findFirst()
@@ -175,7 +177,7 @@
     return security;
   }
 
-  /** Draws from the generator of the calling thread. */
+  /** A random generator that delegates to the generator of the calling thread. */
   private static final class SharedRandom implements java.util.random.RandomGenerator {
 
     @Override
@@ -193,7 +195,7 @@
     }
 
     private void deliver(InstanceId sender, PeerMessage message) {
-      spreadHere(message);
+      broadcastLocally(message);
       PeerMesh.this.handle(sender, message);
     }
   }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/PeerMessageTypes.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/PeerMessageTypes.java
@@ -13,7 +13,9 @@
 import io.hawthornlb.net.codec.PartitionTypes;
 import io.hawthornlb.net.codec.TypeRegistry;
 
-/** The type names of all messages between entries; a name never changes its meaning. */
+/**
+ * The type names of all messages between entry instances. The meaning of a name must never change.
+ */
 final class PeerMessageTypes {
 
   private PeerMessageTypes() {}
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/PeerRecordSource.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/PeerRecordSource.java
@@ -12,11 +12,14 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionStage;
 
-/** Asks reachable peers, one after another in random order, for records of the log. */
+/**
+ * Requests log records from up to three reachable peers, one after another in random order, until a
+ * peer returns any.
+ */
 final class PeerRecordSource implements MissedRecordSource {
 
   private static final Duration TIMEOUT = Duration.ofSeconds(1);
-  private static final int PEERS_ASKED = 3;
+  private static final int MAX_PEERS = 3;
 
   private final PeerTransport peers;
 
@@ -28,8 +31,8 @@
   public CompletionStage<LogPage> read(StreamName stream, long from, int max) {
     List<InstanceId> order = new ArrayList<>(peers.reachable());
     Collections.shuffle(order);
-    List<InstanceId> asked = order.subList(0, Math.min(PEERS_ASKED, order.size()));
-    return ask(new MissedRecordsRequest(stream, from, max), asked);
+    List<InstanceId> candidates = order.subList(0, Math.min(MAX_PEERS, order.size()));
+    return ask(new MissedRecordsRequest(stream, from, max), candidates);
   }
 
   private CompletionStage<LogPage> ask(MissedRecordsRequest request, List<InstanceId> order) {
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/PolicyExchange.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/PolicyExchange.java
@@ -12,7 +12,7 @@
 import io.hawthornlb.net.peer.PeerHandlerRegistry;
 import java.time.InstantSource;
 
-/** Keeps the policies of all entries in step: digests go out, those of peers come in. */
+/** Exchanges the state of the policies between entry instances, mostly as digests. */
 final class PolicyExchange {
 
   private final OnlinePolicies policies;
@@ -25,7 +25,7 @@
     this.clock = clock;
   }
 
-  /** Adds the handlers of what peers say about policies. */
+  /** Registers the handlers of policy messages of peers. */
   void register(PeerHandlerRegistry.Builder builder) {
     builder
         .register(
@@ -61,21 +61,22 @@
   }
 
   /**
-   * Sends what changed in flight to the own data centre; a few times a second.
+   * Broadcasts changes of the in-flight counts within the data centre. Call this method a few times
+   * a second.
    *
-   * <p>Entries elsewhere see it in the load reports, and the steward of an endpoint hears of each
-   * request at once.
+   * <p>Entry instances in other data centres see the in-flight requests in the load reports, and
+   * the dispatcher of an endpoint is notified of each request immediately.
    */
   void sendInFlight() {
     policies
         .inFlight()
         .digest(clock.instant())
-        .ifPresent(digest -> peers.spread(digest, SpreadScope.DATA_CENTRE));
+        .ifPresent(digest -> peers.broadcast(digest, SpreadScope.DATA_CENTRE));
   }
 
-  /** Sends the demand of this entry; once a second. */
+  /** Broadcasts the demand of this instance to the fleet. Call this method once a second. */
   void sendDemand() {
-    peers.spread(policies.shares().digest(clock.instant()), SpreadScope.FLEET);
+    peers.broadcast(policies.shares().digest(clock.instant()), SpreadScope.FLEET);
   }
 
   private void quarantine(QuarantineNotice notice) {
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/PolicyFactory.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/PolicyFactory.java
@@ -22,10 +22,10 @@
 import java.util.SplittableRandom;
 import java.util.random.RandomGenerator;
 
-/** Chooses the implementations of the policies. */
+/** Creates the policies with their default implementations and settings. */
 final class PolicyFactory {
 
-  private static final int PREFIXES = 20_000;
+  private static final int MAX_PREFIXES = 20_000;
 
   private PolicyFactory() {}
 
@@ -35,7 +35,7 @@
     EndpointTable endpoints = new ObservedEndpointTable(EndpointTableSettings.DEFAULT);
     NotifyingInFlightTracker inFlight =
         new NotifyingInFlightTracker(new DefaultInFlightTracker(self));
-    PrefixIndex prefixes = new HintPrefixIndex(PREFIXES);
+    PrefixIndex prefixes = new HintPrefixIndex(MAX_PREFIXES);
     RouterSettings routing = RouterSettings.builder().build();
     EndpointCost cost = new EndpointCost(inFlight, prefixes, routing);
     ShareExchange shares = new DemandShareExchange(self, dataCentre);
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/ProbingCrashDetector.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/ProbingCrashDetector.java
@@ -12,16 +12,17 @@
 import reactor.core.publisher.Mono;
 
 /**
- * Probes the health of an endpoint over a new call.
+ * Detects crashes by a health probe of the endpoint over a new call.
  *
- * <p>When an endpoint dies, all of its requests break at the same moment. They share one probe and
- * only the first answer counts as a crash; otherwise one crash would be counted once for each
- * request, and innocent ones would pass the threshold of suspects.
+ * <p>When an endpoint crashes, all of its requests fail at the same moment. These requests share
+ * one probe, and only the first result counts as a crash. Otherwise one crash would be counted once
+ * for each request, and requests that did not cause the crash would reach the threshold for
+ * suspects.
  */
 public final class ProbingCrashDetector implements CrashDetector {
 
   private static final Duration PROBE_TIMEOUT = Duration.ofMillis(400);
-  private static final Duration SHARED_FOR = Duration.ofMillis(500);
+  private static final Duration RESULT_SHARING_TIME = Duration.ofMillis(500);
 
   private final EndpointClient endpoints;
   private final Map<EndpointId, Probe> probes = new ConcurrentHashMap<>();
@@ -35,17 +36,18 @@
   public Mono<Result> probe(EndpointId endpoint, String address) {
     return Mono.defer(
         () -> {
-          Probe probe = probes.computeIfAbsent(endpoint, id -> new Probe(look(id, address)));
+          Probe probe = probes.computeIfAbsent(endpoint, id -> new Probe(checkHealth(id, address)));
           return probe.crashed.map(crashed -> new Result(crashed, probe.claimFirst(crashed)));
         });
   }
 
-  private Mono<Boolean> look(EndpointId endpoint, String address) {
+  private Mono<Boolean> checkHealth(EndpointId endpoint, String address) {
     return endpoints
         .exchange(EndpointCall.bare(address, "GET", "/health", TrafficKind.CONTROL), PROBE_TIMEOUT)
         .map(answer -> false)
         .onErrorResume(EndpointCallException.class, error -> Mono.just(true))
-        .doOnNext(crashed -> Mono.delay(SHARED_FOR).subscribe(tick -> probes.remove(endpoint)))
+        .doOnNext(
+            crashed -> Mono.delay(RESULT_SHARING_TIME).subscribe(tick -> probes.remove(endpoint)))
         .cache();
   }
 
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/QuarantiningEffects.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/QuarantiningEffects.java
@@ -7,11 +7,12 @@
 import java.util.List;
 
 /**
- * Applies quarantines to the own table of endpoints before they go to peers.
+ * Applies quarantine notices to the endpoint table of this instance before they are sent to peers.
  *
- * <p>Notices reach peers only. Without their beginning here, other requests would join a suspect at
- * its endpoint; without their end, the endpoint would stay closed to them, which shows as requests
- * that wait until their deadline after one engine was lost.
+ * <p>A broadcast notice reaches only the peers. If the start of a quarantine were not applied here,
+ * other requests would run beside the suspect at its endpoint. If the end were not applied, the
+ * endpoint would stay closed to other requests, and these would wait until their deadline after the
+ * loss of one engine.
  */
 final class QuarantiningEffects implements EffectSink {
 
@@ -26,8 +27,8 @@
   @Override
   public void perform(List<Effect> effects) {
     for (Effect effect : effects) {
-      if (effect instanceof SpreadPeerMessage spread
-          && spread.message() instanceof QuarantineNotice notice) {
+      if (effect instanceof SpreadPeerMessage broadcast
+          && broadcast.message() instanceof QuarantineNotice notice) {
         endpoints.quarantine(notice.endpoint(), notice.until());
       }
     }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/RelayedMessage.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/RelayedMessage.java
@@ -3,7 +3,7 @@
 import io.hawthornlb.core.peer.PeerMessage;
 
 /**
- * Carries a message to one entry of another data centre, which passes it on there.
+ * Wraps a message to an entry instance of another data centre, which broadcasts the message there.
  *
  * @param content the encoded message
  */
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/RequestAction.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/RequestAction.java
@@ -1,9 +1,9 @@
 package io.hawthornlb.app.entry;
 
-/** What code does on transitions of an online request; see {@code request.yaml}. */
+/** Actions on the transitions of an online request; see {@code request.yaml}. */
 enum RequestAction {
-  /** One more attempt has begun. */
+  /** Counts an attempt that has started. */
   COUNT_ATTEMPT,
-  /** No endpoint has the request any more. */
+  /** Clears the endpoint that has the request. */
   LEAVE_ENDPOINT
 }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/RequestEvent.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/RequestEvent.java
@@ -2,12 +2,12 @@
 
 /** Events of an online request; see {@code request.yaml}. */
 enum RequestEvent {
-  /** It went to an endpoint. */
+  /** The request was sent to an endpoint. */
   STARTED,
-  /** The endpoint failed it. */
+  /** The attempt at the endpoint failed. */
   FAILED,
-  /** The endpoint has answered it, or it was cancelled there. */
+  /** The endpoint answered the request, or the request was cancelled at the endpoint. */
   LEFT,
-  /** Its caller has the final answer, or has gone. */
+  /** The caller received the final answer or disconnected. */
   ENDED
 }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/RequestMeters.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/RequestMeters.java
@@ -11,19 +11,20 @@
 import java.util.Set;
 
 /**
- * Records requests by class and workspace.
+ * Records metrics of requests by request class and workspace.
  *
- * <p>Workspaces beyond a bound share one name, so that the meters of an instance stay bounded.
+ * <p>Only the first 100 workspaces have metrics of their own. All others share one label value, so
+ * that the number of metrics of an instance is bounded.
  */
 public final class RequestMeters implements RequestObserver {
 
-  private static final int NAMED_WORKSPACES = 100;
+  private static final int MAX_NAMED_WORKSPACES = 100;
   private static final String OTHER_WORKSPACES = "other";
 
   private final MeterRegistry registry;
-  private final Set<String> named = new HashSet<>();
+  private final Set<String> namedWorkspaces = new HashSet<>();
 
-  /** Creates meters in a registry. */
+  /** Creates an observer that records to a registry. */
   public RequestMeters(MeterRegistry registry) {
     this.registry = registry;
   }
@@ -76,7 +77,8 @@
 
   private String workspaceName(OnlineRequest request) {
     String id = request.workspace().id().value();
-    if (named.contains(id) || (named.size() < NAMED_WORKSPACES && named.add(id))) {
+    if (namedWorkspaces.contains(id)
+        || (namedWorkspaces.size() < MAX_NAMED_WORKSPACES && namedWorkspaces.add(id))) {
       return id;
     }
     return OTHER_WORKSPACES;
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/RequestObserver.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/RequestObserver.java
@@ -5,21 +5,21 @@
 import io.hawthornlb.core.model.Refusal;
 import java.time.Duration;
 
-/** Hears what becomes of online requests; called on the decision loop. */
+/** Observes the progress of online requests. Called on the decision loop. */
 public interface RequestObserver {
 
-  /** Takes a request that goes to an endpoint. */
+  /** Called when a request is sent to an endpoint. */
   void sent(OnlineRequest request, EndpointId endpoint);
 
-  /** Takes the time from the offer to the first token or the whole answer. */
+  /** Called with the time from the offer to the first token or to the complete answer. */
   void firstAnswer(OnlineRequest request, Duration elapsed);
 
-  /** Takes the time from the offer to the end of an answer that arrived whole. */
+  /** Called with the time from the offer to the end of a complete answer. */
   void succeeded(OnlineRequest request, Duration elapsed);
 
-  /** Takes a refusal. */
+  /** Called when a request is refused. */
   void refused(OnlineRequest request, Refusal refusal);
 
-  /** Takes the end of a request, however it ended. */
+  /** Called when a request has ended, for any reason. */
   void finished(OnlineRequest request);
 }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/UnknownEditException.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/UnknownEditException.java
@@ -1,6 +1,9 @@
 package io.hawthornlb.app.entry;
 
-/** Thrown when an edit stands in the log but its outcome is no longer known; read the catalogue. */
+/**
+ * Thrown when an edit is in the log but its outcome is no longer known. The caller can read the
+ * catalogue to find out whether the edit was applied.
+ */
 public class UnknownEditException extends RuntimeException {
 
   private static final long serialVersionUID = 1L;
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/package-info.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/package-info.java
@@ -1,4 +1,4 @@
-/** The entry process: its decision loop, its adapters and their wiring. */
+/** The process of an entry instance: its decision loop, its adapters, and their wiring. */
 @NullMarked
 package io.hawthornlb.app.entry;
 
--- a/hawthornlb-app/src/test/java/io/hawthornlb/app/entry/ActiveRequestTest.java
+++ b/hawthornlb-app/src/test/java/io/hawthornlb/app/entry/ActiveRequestTest.java
@@ -43,7 +43,7 @@
   }
 
   @Test
-  void followsAttemptsThroughTheChart() {
+  void tracksAttemptsAndTheirEndpoints() {
     request.startedAt(FIRST, false);
     assertEquals(FIRST, request.endpoint());
     request.failedAt(FIRST, false);
@@ -56,10 +56,10 @@
     request.ended();
   }
 
-  // A caller goes away while its endpoint fails: the cancellation and the failure arrive one after
-  // the other. The late failure must not count against the request or start it again.
+  // The caller disconnects while the endpoint fails, so that a cancellation and then a failure are
+  // reported. The late failure must neither count as an attempt nor restart the request.
   @Test
-  void lateFailuresChangeNothing() {
+  void ignoresFailureAfterCancellation() {
     request.startedAt(FIRST, false);
     request.leftEndpoint();
     request.failedAt(FIRST, true);
@@ -70,14 +70,14 @@
     assertThrows(UnexpectedEventException.class, () -> request.startedAt(SECOND, false));
   }
 
-  // The first attempt broke after the endpoint had the request, the second found no endpoint and
-  // says "not run" of itself. Said to the caller that would be false.
+  // The first attempt fails after the endpoint has received the request, and the second finds no
+  // endpoint and is refused with "not run". That status would be wrong for the request as a whole.
   @Test
-  void refusalsAreTrueOfAllAttempts() {
+  void refusalCoversAllAttempts() {
     request.startedAt(FIRST, false);
     request.failedAt(FIRST, true);
 
-    Refusal refusal = request.truthful(Refusal.notRun(RefusalReason.NO_ENDPOINT, "none"));
+    Refusal refusal = request.forAllAttempts(Refusal.notRun(RefusalReason.NO_ENDPOINT, "none"));
 
     assertEquals(RunStatus.MAY_HAVE_RUN, refusal.run());
   }
--- a/hawthornlb-app/src/test/java/io/hawthornlb/app/entry/AloneRunFailureTest.java
+++ b/hawthornlb-app/src/test/java/io/hawthornlb/app/entry/AloneRunFailureTest.java
@@ -30,7 +30,7 @@
 class AloneRunFailureTest {
 
   private static final Instant NOW = CapacityFixture.START;
-  private static final Duration PATIENCE = Duration.ofSeconds(5);
+  private static final Duration TIMEOUT = Duration.ofSeconds(5);
 
   private final DecisionLoop loop = new DecisionLoop();
   private final OnlinePolicies policies = CapacityFixture.policies(2, 1);
@@ -40,7 +40,7 @@
           policies,
           (endpoint, address) -> Mono.just(new CrashDetector.Result(false, false)),
           new QuarantiningEffects(AloneRunFailureTest::drop, policies.endpoints()),
-          new SilentObserver(),
+          new NoOpObserver(),
           CapacityFixture.dataCentre(0),
           100,
           () -> NOW);
@@ -50,46 +50,49 @@
     loop.close();
   }
 
-  // A coordinator's request hangs until its deadline after one of two engines was lost: it ran
-  // there, so it is to run alone. The engine that is gone is still listed and tried again after a
-  // second, the request goes there alone, finds no listener, and seems to run there ever after.
+  // One of two engines crashes, and a request that ran there becomes a suspect that must run alone.
+  // The crashed engine is still listed and is probed again after a second. The suspect is sent
+  // there
+  // alone and finds no listener. If the run alone is not ended then, the suspect seems to run there
+  // forever, and the request hangs until its deadline.
   @Test
-  void aSuspectThatReachesNoEndpointRunsAtTheOtherOne() {
+  void suspectThatReachesNoEndpointRunsAtTheOtherEndpoint() {
     OnlineRequest request = suspect("briefing");
-    decisions.admit(request).block(PATIENCE);
+    decisions.admit(request).block(TIMEOUT);
     RoutedAttempt first = route(request);
 
-    Duration pause = decisions.failed(first, EndpointFault.NOT_SENT).block(PATIENCE);
-    assertTrue(pause != null);
+    Duration delay = decisions.failed(first, EndpointFault.NOT_SENT).block(TIMEOUT);
+    assertTrue(delay != null);
     RoutedAttempt second = route(request);
 
     assertNotEquals(first.endpoint(), second.endpoint());
   }
 
-  // All requests for one of two engines wait for two minutes: a suspect ran there alone, and its
-  // caller left before the answer.
+  // A suspect runs alone at one of two engines, and its caller disconnects before the answer. If
+  // the
+  // quarantine is not ended then, all other requests for that engine wait for two minutes.
   @Test
-  void anEndpointIsOpenAgainOnceTheCallerOfASuspectLeft() {
+  void endpointAcceptsAgainAfterCallerOfSuspectDisconnects() {
     OnlineRequest request = suspect("roster");
-    decisions.admit(request).block(PATIENCE);
+    decisions.admit(request).block(TIMEOUT);
     RoutedAttempt alone = route(request);
     assertEquals(1, accepting());
 
     decisions.cancelled(alone);
     decisions.finished(request);
-    awaitLoop();
+    awaitPendingLoopTasks();
 
     assertEquals(2, accepting());
   }
 
-  // The same, for an engine that gives the suspect no answer in time: nothing crashed.
+  // The same failure, where the engine does not answer the suspect in time. Nothing has crashed.
   @Test
-  void anEndpointIsOpenAgainOnceASuspectTimedOut() {
+  void endpointAcceptsAgainAfterSuspectTimesOut() {
     OnlineRequest request = suspect("notes");
-    decisions.admit(request).block(PATIENCE);
+    decisions.admit(request).block(TIMEOUT);
     RoutedAttempt alone = route(request);
 
-    decisions.failed(alone, EndpointFault.TIMED_OUT).block(PATIENCE);
+    decisions.failed(alone, EndpointFault.TIMED_OUT).block(TIMEOUT);
 
     assertTrue(
         policies.endpoints().find(alone.endpoint()).stream()
@@ -117,7 +120,7 @@
   }
 
   private RoutedAttempt route(OnlineRequest request) {
-    RoutedAttempt attempt = decisions.route(request).block(PATIENCE);
+    RoutedAttempt attempt = decisions.route(request).block(TIMEOUT);
     assertTrue(attempt != null);
     return attempt;
   }
@@ -129,15 +132,15 @@
         .count();
   }
 
-  private void awaitLoop() {
-    loop.<Boolean>ask(sink -> sink.success(true)).block(PATIENCE);
+  private void awaitPendingLoopTasks() {
+    loop.<Boolean>ask(sink -> sink.success(true)).block(TIMEOUT);
   }
 
   private static void drop(List<Effect> effects) {
-    // No peers in this test.
+    // This test has no peers.
   }
 
-  private static final class SilentObserver implements RequestObserver {
+  private static final class NoOpObserver implements RequestObserver {
 
     @Override
     public void sent(OnlineRequest request, EndpointId endpoint) {}
--- a/hawthornlb-app/src/test/java/io/hawthornlb/app/entry/CapacityFixture.java
+++ b/hawthornlb-app/src/test/java/io/hawthornlb/app/entry/CapacityFixture.java
@@ -17,13 +17,13 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** A fleet of a size, as one entry knows it, and meters of processor time and heap. */
+/** Creates policies for a fleet of a given size, and measures CPU time and heap use. */
 final class CapacityFixture {
 
   static final Instant START = Instant.parse("2026-12-02T10:00:00Z");
   static final ServiceName SERVICE = new ServiceName("brief-llm");
   private static final int DATA_CENTRES = 5;
-  private static final int LEAST_ROUNDS = 200;
+  private static final int ROUNDS_PER_CHECK = 200;
   private static final long MEASURED_NANOS = 700_000_000L;
   private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
 
@@ -71,7 +71,7 @@
     return new ShareKey(kind, String.format("workspace-%05d", workspace));
   }
 
-  /** Returns the processor time of a call, after as long a time to warm up. */
+  /** Returns the CPU time of a call in microseconds, after a warm-up of the same length. */
   static double cpuMicros(Runnable call) {
     measure(call);
     return measure(call);
@@ -82,10 +82,10 @@
     long rounds = 0;
     long used = 0;
     while (used < MEASURED_NANOS) {
-      for (int i = 0; i < LEAST_ROUNDS; i++) {
+      for (int i = 0; i < ROUNDS_PER_CHECK; i++) {
         call.run();
       }
-      rounds += LEAST_ROUNDS;
+      rounds += ROUNDS_PER_CHECK;
       used = THREADS.getCurrentThreadCpuTime() - start;
     }
     return used / 1_000.0 / rounds;
--- a/hawthornlb-app/src/test/java/io/hawthornlb/app/entry/KnownEntriesTest.java
+++ b/hawthornlb-app/src/test/java/io/hawthornlb/app/entry/ConfiguredEntriesTest.java
@@ -10,22 +10,24 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-class KnownEntriesTest {
+class ConfiguredEntriesTest {
 
-  private final KnownEntries known = new KnownEntries(List.of(entry("entry-1")));
+  private final ConfiguredEntries configured = new ConfiguredEntries(List.of(entry("entry-1")));
 
-  // An entry starts while the platform is away and takes the list of its only peer, which is older
-  // than the peer itself. It then connects to nobody, and callers are refused for good.
+  // An entry instance starts while the platform is unreachable and receives the list of its only
+  // peer.
+  // The list is older than that peer and omits it. The instance must not drop the peer, as it would
+  // then have no connection and would refuse all callers permanently.
   @Test
-  void staysKnownWhenTheListIsOlderThanTheEntry() {
-    assertEquals(List.of(entry("entry-1")), known.complete(List.of()));
+  void addsEntryMissingFromOlderList() {
+    assertEquals(List.of(entry("entry-1")), configured.complete(List.of()));
   }
 
   @Test
-  void isNamedOnceWhenTheListNamesOneOfItsStarts() {
+  void doesNotAddEntryListedUnderProcessId() {
     List<ListedProcess> listed = List.of(entry("entry-1~abc"), entry("entry-2~def"));
 
-    assertEquals(listed, known.complete(listed));
+    assertEquals(listed, configured.complete(listed));
   }
 
   private static ListedProcess entry(String id) {
--- a/hawthornlb-app/src/test/java/io/hawthornlb/app/entry/ControlMessageBench.java
+++ b/hawthornlb-app/src/test/java/io/hawthornlb/app/entry/ControlMessageBench.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 
-/** Bytes of the messages of control, and processor time to send and to handle one. */
+/** Measures the size of control messages and the CPU time to encode and to handle one. */
 @Tag("bench")
 class ControlMessageBench {
 
@@ -37,32 +37,32 @@
   private final OnlinePolicies policies = CapacityFixture.policies(ENDPOINTS, 390);
 
   @Test
-  void digestsInFlight() {
+  void inFlightDigests() {
     for (int counts : new int[] {1, 10, 100}) {
       PeerMessage digest = inFlight(counts);
-      report("in flight, " + counts + " endpoints", digest, this::takeInFlight);
+      report("in flight, " + counts + " endpoints", digest, this::handleInFlight);
     }
     RelayedMessage relayed = new RelayedMessage(codec.encode(inFlight(10)));
     report("relayed in flight, 10 endpoints", relayed, message -> codec.decode(relayed.content()));
   }
 
   @Test
-  void digestsOfDemand() {
+  void demandDigests() {
     for (int demands : new int[] {10, 100, 1_000}) {
-      report("demand, " + demands + " keys", demand(demands), this::takeDemand);
+      report("demand, " + demands + " keys", demand(demands), this::handleDemand);
     }
   }
 
   @Test
-  void reportsOfEndpoints() {
-    report("load", new LoadNotice(CapacityFixture.endpoint(17), load()), this::takeLoad);
+  void endpointReports() {
+    report("load", new LoadNotice(CapacityFixture.endpoint(17), load()), this::handleLoad);
     for (int events : new int[] {1, 10, 100}) {
-      report("cache, " + events + " events", cache(events), this::takeCache);
+      report("cache, " + events + " events", cache(events), this::handleCache);
     }
   }
 
   @Test
-  void noticesOfBatchWork() {
+  void batchNotices() {
     report("online", new OnlineNotice(SENDER, CapacityFixture.endpoint(17), 3), message -> {});
     for (int services : new int[] {1, 5, 33}) {
       List<ServiceBacklog> backlog =
@@ -74,13 +74,13 @@
     }
   }
 
-  private void report(String name, PeerMessage message, Consumer<PeerMessage> taker) {
+  private void report(String name, PeerMessage message, Consumer<PeerMessage> handler) {
     byte[] bytes = codec.encode(message);
     double encode = CapacityFixture.cpuMicros(() -> codec.encode(message));
-    double handle = CapacityFixture.cpuMicros(() -> codec.decode(bytes).ifPresent(taker));
+    double handle = CapacityFixture.cpuMicros(() -> codec.decode(bytes).ifPresent(handler));
     System.out.printf(
         Locale.ROOT,
-        "| %s | %d bytes | %.1f us to encode | %.1f us to decode and take |%n",
+        "| %s | %d bytes | %.1f us to encode | %.1f us to decode and handle |%n",
         name,
         bytes.length,
         encode,
@@ -121,20 +121,20 @@
     return String.format("%016x", number);
   }
 
-  private void takeInFlight(PeerMessage message) {
+  private void handleInFlight(PeerMessage message) {
     policies.inFlight().onDigest((InFlightDigest) message, NOW);
   }
 
-  private void takeDemand(PeerMessage message) {
+  private void handleDemand(PeerMessage message) {
     policies.shares().onDigest((DemandDigest) message, NOW);
   }
 
-  private void takeLoad(PeerMessage message) {
+  private void handleLoad(PeerMessage message) {
     LoadNotice notice = (LoadNotice) message;
     policies.endpoints().onLoad(notice.endpoint(), notice.report(), NOW);
   }
 
-  private void takeCache(PeerMessage message) {
+  private void handleCache(PeerMessage message) {
     CacheNotice notice = (CacheNotice) message;
     policies.prefixes().onEvents(notice.endpoint(), notice.events(), NOW);
   }
--- a/hawthornlb-app/src/test/java/io/hawthornlb/app/entry/ControlRecordBench.java
+++ b/hawthornlb-app/src/test/java/io/hawthornlb/app/entry/ControlRecordBench.java
@@ -32,11 +32,11 @@
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 
-/** Bytes of what an entry reads from the platform, by the size of the fleet. */
+/** Measures the size of the data that an entry instance reads, by the size of the fleet. */
 @Tag("bench")
 class ControlRecordBench {
 
-  private static final int RENEWALS_OF_EACH = 80;
+  private static final int RENEWALS_PER_WRITER = 80;
 
   private final RecordCodec codec =
       new RecordCodec(SharedRecordTypes.register(TypeRegistry.builder()).build());
@@ -113,15 +113,15 @@
 
   private static List<? extends RecordBody> claims(int partitions, int writers) {
     ClaimFold fold = new ClaimFold(partitions);
-    List<InstanceId> witnesses = List.of(new InstanceId("entry-11"), new InstanceId("entry-12"));
+    List<InstanceId> replicas = List.of(new InstanceId("entry-11"), new InstanceId("entry-12"));
     for (int i = 0; i < partitions; i++) {
       RecordBody claim =
           new ClaimRecord(
-              new PartitionId(i), new InstanceId("entry-" + i % writers), Epoch.NONE, witnesses);
+              new PartitionId(i), new InstanceId("entry-" + i % writers), Epoch.NONE, replicas);
       fold.apply(record(fold.nextOffset(), i % writers, i / writers, claim));
     }
     int first = partitions / writers + 1;
-    for (int i = 0; i < writers * RENEWALS_OF_EACH; i++) {
+    for (int i = 0; i < writers * RENEWALS_PER_WRITER; i++) {
       fold.apply(record(fold.nextOffset(), i % writers, first + i / writers, renewal()));
     }
     return fold.snapshot();
--- a/hawthornlb-app/src/test/java/io/hawthornlb/app/entry/EntryFleetTest.java
+++ b/hawthornlb-app/src/test/java/io/hawthornlb/app/entry/EntryFleetTest.java
@@ -14,7 +14,7 @@
 @Timeout(120)
 class EntryFleetTest {
 
-  private static final String ASK =
+  private static final String CHAT_REQUEST =
       "{\"model\":\"brief-llm\",\"max_tokens\":5,\"messages\":"
           + "[{\"role\":\"user\",\"content\":\"Which shoes?\"}]}";
 
@@ -37,16 +37,18 @@
   }
 
   @Test
-  void catalogueOfOneEntryIsInForceOnTheOther() {
+  void catalogueEditReachesOtherEntry() {
     fleet.awaitReady(second);
 
-    assertEquals(200, fleet.send(TestFleet.chat(second, ASK)).statusCode());
+    assertEquals(200, fleet.send(TestFleet.chat(second, CHAT_REQUEST)).statusCode());
   }
 
-  // An operator puts an edit that rests on a revision which a colleague has replaced meanwhile.
-  // Accepted, it would silently undo the colleague's edit; so it is refused and names the winner.
+  // An operator submits an edit of a revision that another operator has replaced meanwhile. If the
+  // edit were accepted, it would silently undo the other edit. The edit is therefore refused, and
+  // the
+  // answer names the author of the edit that was accepted.
   @Test
-  void laterOfTwoRacingEditsIsToldWhoWon() {
+  void staleEditIsRefusedAndNamesAuthorOfAcceptedEdit() {
     fleet.awaitReady(second);
     HttpRequest stale =
         HttpRequest.newBuilder(TestFleet.uri(second, "/v1/catalogue"))
@@ -64,29 +66,31 @@
     assertTrue(answer.body().contains("tester"), answer.body());
   }
 
-  // The platform goes away after the fleet has started: callers go on being served by what each
-  // entry has folded.
+  // The platform becomes unreachable after the fleet has started. Each entry instance must continue
+  // to
+  // serve callers with the state that it has already folded.
   @Test
-  void requestsAreServedWhileThePlatformIsAway() {
+  void servesRequestsWhilePlatformIsDown() {
     fleet.awaitReady(first);
     fleet.awaitReady(second);
 
     fleet.platformDown();
 
-    assertEquals(200, fleet.send(TestFleet.chat(first, ASK)).statusCode());
-    assertEquals(200, fleet.send(TestFleet.chat(second, ASK)).statusCode());
+    assertEquals(200, fleet.send(TestFleet.chat(first, CHAT_REQUEST)).statusCode());
+    assertEquals(200, fleet.send(TestFleet.chat(second, CHAT_REQUEST)).statusCode());
   }
 
-  // An entry is restarted while the platform is away. Without its peers it would know neither the
-  // catalogue nor an endpoint, and refuse every caller that the balancer sends to it.
+  // An entry instance is restarted while the platform is unreachable. Without its peers the
+  // instance
+  // would know neither the catalogue nor any endpoint, and would refuse every request.
   @Test
-  void entryThatStartsWhileThePlatformIsAwayLearnsFromItsPeers() {
+  void entryStartedWhilePlatformIsDownLearnsFromPeers() {
     fleet.awaitReady(first);
     fleet.platformDown();
 
     EntryProcess third = fleet.addEntry("entry-3", List.of(TestFleet.known("entry-1", first)));
 
     fleet.awaitReady(third);
-    assertEquals(200, fleet.send(TestFleet.chat(third, ASK)).statusCode());
+    assertEquals(200, fleet.send(TestFleet.chat(third, CHAT_REQUEST)).statusCode());
   }
 }
--- a/hawthornlb-app/src/test/java/io/hawthornlb/app/entry/EntryJobTest.java
+++ b/hawthornlb-app/src/test/java/io/hawthornlb/app/entry/EntryJobTest.java
@@ -19,7 +19,7 @@
 @Timeout(180)
 class EntryJobTest {
 
-  private static final Duration PATIENCE = Duration.ofSeconds(60);
+  private static final Duration TIMEOUT = Duration.ofSeconds(60);
   private static final Pattern ID = Pattern.compile("\"id\":\"([^\"]+)\"");
 
   private TestFleet fleet;
@@ -44,8 +44,8 @@
   }
 
   @Test
-  void jobRunsToItsEndAndIsReadableFromAnyEntry() {
-    String job = accepted(submit(first, "roster-1", items(40)));
+  void jobCompletesAndIsReadableFromAnyEntry() {
+    String job = awaitAccepted(submit(first, "roster-1", items(40)));
 
     awaitStatus(second, job, "completed");
     String results = results(second, job);
@@ -55,20 +55,21 @@
     assertTrue(results.lines().allMatch(line -> line.contains("\"status\":\"completed\"")));
   }
 
-  // A client loses the answer to its submission and sends the job again through another entry.
-  // Taken for a second job, each item would run twice.
+  // A client does not receive the answer to its submission and resends the job through another
+  // entry
+  // instance. If the resend were accepted as a second job, each item would run twice.
   @Test
   void resentJobIsTheSameJob() {
-    String job = accepted(submit(first, "roster-2", items(5)));
+    String job = awaitAccepted(submit(first, "roster-2", items(5)));
 
-    assertEquals(job, accepted(submit(second, "roster-2", items(5))));
+    assertEquals(job, awaitAccepted(submit(second, "roster-2", items(5))));
     HttpResponse<String> other = fleet.send(submit(second, "roster-2", items(6)));
     assertEquals(409, other.statusCode(), other.body());
   }
 
   @Test
   void cancelledJobStops() {
-    String job = accepted(submit(first, "roster-3", items(2_000)));
+    String job = awaitAccepted(submit(first, "roster-3", items(2_000)));
 
     HttpRequest cancel =
         TestFleet.to(second, "/v1/jobs/" + job + "/cancel")
@@ -80,10 +81,10 @@
 
   @Test
   void faultsOfAllItemsAreReportedAndNothingRuns() {
-    String bad =
+    String invalidItems =
         item("a").replace("brief-llm", "no-such") + "\n{broken\n" + item("b") + "\n" + item("b");
 
-    HttpResponse<String> answer = fleet.send(submit(first, "roster-4", bad));
+    HttpResponse<String> answer = fleet.send(submit(first, "roster-4", invalidItems));
 
     assertEquals(400, answer.statusCode(), answer.body());
     for (int line : new int[] {1, 2, 4}) {
@@ -91,10 +92,10 @@
     }
   }
 
-  private String accepted(HttpRequest request) {
+  private String awaitAccepted(HttpRequest request) {
     HttpResponse<String> answer =
         Awaitility.await()
-            .atMost(PATIENCE)
+            .atMost(TIMEOUT)
             .until(() -> fleet.send(request), response -> response.statusCode() == 202);
     Matcher matcher = ID.matcher(answer.body());
     assertTrue(matcher.find(), answer.body());
@@ -103,7 +104,7 @@
 
   private void awaitStatus(EntryProcess entry, String job, String status) {
     Awaitility.await()
-        .atMost(PATIENCE)
+        .atMost(TIMEOUT)
         .until(
             () -> fleet.send(TestFleet.get(entry, "/v1/jobs/" + job)).body(),
             body -> body.contains("\"status\":\"" + status + "\""));
--- a/hawthornlb-app/src/test/java/io/hawthornlb/app/entry/EntryLoadFailureTest.java
+++ b/hawthornlb-app/src/test/java/io/hawthornlb/app/entry/EntryLoadFailureTest.java
@@ -33,10 +33,10 @@
 @Timeout(120)
 class EntryLoadFailureTest {
 
-  private static final Duration PATIENCE = Duration.ofSeconds(30);
-  private static final Duration LEAVING_LIMIT = Duration.ofSeconds(5);
+  private static final Duration TIMEOUT = Duration.ofSeconds(30);
+  private static final Duration LEAVING_NOTICE_TIME = Duration.ofSeconds(5);
   private static final int CALLERS = 8;
-  private static final int ROUND = 40;
+  private static final int CALLS_PER_ROUND = 40;
   private static final int TOKENS = 200;
 
   private final ExecutorService threads = Executors.newCachedThreadPool();
@@ -63,24 +63,24 @@
     fleet.close();
   }
 
-  // Coordinators get errors while one engine of two is lost: their requests were in progress
-  // there, the connections break, and nobody sends them to the other engine.
+  // One of two engines stops under load, and the connections of its requests break. Callers get
+  // errors if these requests are not retried at the other engine.
   @Test
-  void anEngineLostUnderLoadFailsNoRequest() throws Exception {
+  void lossOfEngineUnderLoadFailsNoRequest() throws Exception {
     Queue<HttpResponse<String>> answers = new ConcurrentLinkedQueue<>();
-    AtomicBoolean enough = new AtomicBoolean();
+    AtomicBoolean stopped = new AtomicBoolean();
     List<Future<?>> callers = new ArrayList<>();
     for (int caller = 0; caller < CALLERS; caller++) {
       String name = "caller-" + caller;
-      callers.add(threads.submit(() -> askUntil(enough, name, answers)));
+      callers.add(threads.submit(() -> sendUntilStopped(stopped, name, answers)));
     }
-    awaitAnswers(answers, ROUND);
+    awaitAnswers(answers, CALLS_PER_ROUND);
 
     firstEngine.close();
-    awaitAnswers(answers, answers.size() + 2 * ROUND);
-    enough.set(true);
+    awaitAnswers(answers, answers.size() + 2 * CALLS_PER_ROUND);
+    stopped.set(true);
     for (Future<?> caller : callers) {
-      caller.get(PATIENCE.toSeconds(), TimeUnit.SECONDS);
+      caller.get(TIMEOUT.toSeconds(), TimeUnit.SECONDS);
     }
 
     assertEquals(
@@ -91,57 +91,63 @@
             .toList());
   }
 
-  // A briefing stops in the middle of a sentence whenever its entry is replaced: the entry stops
-  // while streams run and closes their connections.
+  // An entry instance is stopped gracefully while streams are running. If it closed their
+  // connections
+  // at once, callers would receive truncated answers on every replacement of an instance.
   @Test
-  void aGracefulStopEndsNoStreamEarly() throws Exception {
+  void gracefulStopCompletesRunningStreams() throws Exception {
     List<BufferedReader> streams = new ArrayList<>();
     for (int caller = 0; caller < CALLERS; caller++) {
-      HttpRequest request = TestFleet.chat(entry, ask("stream-" + caller, TOKENS, true));
+      HttpRequest request = TestFleet.chat(entry, chatRequest("stream-" + caller, TOKENS, true));
       streams.add(
           new BufferedReader(
               new InputStreamReader(
-                  fleet.stream(request).get(PATIENCE.toSeconds(), TimeUnit.SECONDS).body(),
+                  fleet.stream(request).get(TIMEOUT.toSeconds(), TimeUnit.SECONDS).body(),
                   StandardCharsets.UTF_8)));
     }
-    List<String> begun = new ArrayList<>();
+    List<String> firstLines = new ArrayList<>();
     for (BufferedReader stream : streams) {
-      begun.add(stream.readLine());
+      firstLines.add(stream.readLine());
     }
 
     CompletableFuture<Void> stop = CompletableFuture.runAsync(() -> fleet.stop(entry), threads);
     for (int caller = 0; caller < CALLERS; caller++) {
-      assertWhole(begun.get(caller) + "\n" + rest(streams.get(caller)));
+      assertComplete(firstLines.get(caller) + "\n" + readRest(streams.get(caller)));
     }
-    stop.get(PATIENCE.toSeconds(), TimeUnit.SECONDS);
+    stop.get(TIMEOUT.toSeconds(), TimeUnit.SECONDS);
   }
 
-  // Calls fail at a service that shuts down as planned: it has told the platform that it is
-  // leaving, and an entry goes on sending it new ones until its connections are refused.
+  // A service announces to the platform that it is leaving and then shuts down. Calls fail if an
+  // entry
+  // instance continues to send new calls there until the connections are refused.
   @Test
-  void aLeavingEndpointGetsNoNewWork() {
-    call("before", ROUND);
-    assertTrue(callsAt(firstService, "before") > 0, "the service is in use before it leaves");
+  void leavingEndpointGetsNoNewCalls() {
+    callRepeatedly("before", CALLS_PER_ROUND);
+    assertTrue(
+        callsAt(firstService, "before") > 0, "the service receives no calls before it leaves");
 
     firstService.leave();
-    Awaitility.await().pollDelay(LEAVING_LIMIT).atMost(PATIENCE).until(() -> true);
-    call("after", ROUND);
+    Awaitility.await().pollDelay(LEAVING_NOTICE_TIME).atMost(TIMEOUT).until(() -> true);
+    callRepeatedly("after", CALLS_PER_ROUND);
 
     assertEquals(0, callsAt(firstService, "after"));
-    assertEquals(ROUND, IntStream.range(0, ROUND).map(i -> fleet.callsOf("after-" + i)).sum());
+    assertEquals(
+        CALLS_PER_ROUND,
+        IntStream.range(0, CALLS_PER_ROUND).map(i -> fleet.callsOf("after-" + i)).sum());
   }
 
-  private void askUntil(AtomicBoolean enough, String name, Queue<HttpResponse<String>> answers) {
-    for (int i = 0; !enough.get(); i++) {
-      answers.add(fleet.send(TestFleet.chat(entry, ask(name + "-" + i, 20, false))));
+  private void sendUntilStopped(
+      AtomicBoolean stopped, String name, Queue<HttpResponse<String>> answers) {
+    for (int i = 0; !stopped.get(); i++) {
+      answers.add(fleet.send(TestFleet.chat(entry, chatRequest(name + "-" + i, 20, false))));
     }
   }
 
   private static void awaitAnswers(Queue<HttpResponse<String>> answers, int count) {
-    Awaitility.await().atMost(PATIENCE).until(() -> answers.size() >= count);
+    Awaitility.await().atMost(TIMEOUT).until(() -> answers.size() >= count);
   }
 
-  private static String ask(String content, int tokens, boolean streamed) {
+  private static String chatRequest(String content, int tokens, boolean streamed) {
     return "{\"model\":\"brief-llm\",\"max_tokens\":"
         + tokens
         + ",\"stream\":"
@@ -151,7 +157,7 @@
         + "\"}]}";
   }
 
-  private static String rest(BufferedReader stream) throws IOException {
+  private static String readRest(BufferedReader stream) throws IOException {
     StringBuilder text = new StringBuilder();
     for (String line = stream.readLine(); line != null; line = stream.readLine()) {
       text.append(line).append('\n');
@@ -159,7 +165,7 @@
     return text.toString();
   }
 
-  private static void assertWhole(String body) {
+  private static void assertComplete(String body) {
     List<Integer> tokens =
         Pattern.compile("\"hawthornlb_token\":(\\d+)")
             .matcher(body)
@@ -170,7 +176,7 @@
     assertTrue(body.trim().endsWith("data: [DONE]"), body);
   }
 
-  private void call(String prefix, int count) {
+  private void callRepeatedly(String prefix, int count) {
     for (int i = 0; i < count; i++) {
       HttpRequest request =
           TestFleet.to(entry, "/services/checkin-app/doors/3")
@@ -178,7 +184,7 @@
               .header("Content-Type", "text/plain")
               .POST(HttpRequest.BodyPublishers.ofString("worker " + i))
               .build();
-      Awaitility.await().atMost(PATIENCE).until(() -> fleet.send(request).statusCode() == 200);
+      Awaitility.await().atMost(TIMEOUT).until(() -> fleet.send(request).statusCode() == 200);
     }
   }
 
--- a/hawthornlb-app/src/test/java/io/hawthornlb/app/entry/EntryProcessTest.java
+++ b/hawthornlb-app/src/test/java/io/hawthornlb/app/entry/EntryProcessTest.java
@@ -20,7 +20,7 @@
 class EntryProcessTest {
 
   private static final int MAX_TOKENS = 20;
-  private static final String ASK =
+  private static final String CHAT_REQUEST =
       "{\"model\":\"brief-llm\",\"max_tokens\":"
           + MAX_TOKENS
           + ",\"messages\":"
@@ -30,8 +30,8 @@
   private static final Pattern COUNT =
       Pattern.compile("(?m)^hawthornlb_request_seconds_count\\S* (\\d+)");
 
-  /** Figures are counted by one thread, which a busy machine holds up. */
-  private static final Duration COUNTED_WITHIN = Duration.ofSeconds(5);
+  /** Metrics are recorded by a single thread, which may be delayed on a busy machine. */
+  private static final Duration METRICS_TIMEOUT = Duration.ofSeconds(5);
 
   private TestFleet fleet;
   private EntryProcess entry;
@@ -52,8 +52,8 @@
   }
 
   @Test
-  void servesWholeAnswer() {
-    HttpResponse<String> answer = fleet.send(TestFleet.chat(entry, ASK.formatted("")));
+  void servesCompleteAnswer() {
+    HttpResponse<String> answer = fleet.send(TestFleet.chat(entry, CHAT_REQUEST.formatted("")));
 
     assertEquals(200, answer.statusCode(), answer.body());
     assertTrue(answer.body().contains("\"choices\""), answer.body());
@@ -62,7 +62,7 @@
   @Test
   void servesStreamToItsEndMarker() {
     HttpResponse<String> answer =
-        fleet.send(TestFleet.chat(entry, ASK.formatted(",\"stream\":true")));
+        fleet.send(TestFleet.chat(entry, CHAT_REQUEST.formatted(",\"stream\":true")));
 
     assertEquals(200, answer.statusCode(), answer.body());
     assertTrue(answer.body().trim().endsWith("data: [DONE]"), answer.body());
@@ -102,7 +102,7 @@
   }
 
   @Test
-  void refusesBrokenJsonWithItsPlace() {
+  void refusesInvalidJsonWithLineNumber() {
     HttpResponse<String> answer = fleet.send(TestFleet.chat(entry, "{\"model\":\n oops}"));
 
     assertEquals(400, answer.statusCode(), answer.body());
@@ -119,15 +119,13 @@
     assertEquals(401, fleet.send(request).statusCode());
   }
 
-  /**
-   * The meters lacked a chat right after its answer: no answer waits for a figure to be counted.
-   */
+  /** Waits for the metric, since an answer may reach the caller before its request is counted. */
   @Test
   void listsModelsAndMeters() {
     assertTrue(fleet.send(TestFleet.get(entry, "/v1/models")).body().contains("brief-llm"));
-    HttpResponse<String> answer = fleet.send(TestFleet.chat(entry, ASK.formatted("")));
+    HttpResponse<String> answer = fleet.send(TestFleet.chat(entry, CHAT_REQUEST.formatted("")));
     assertEquals(200, answer.statusCode(), answer.body());
-    Awaitility.await().atMost(COUNTED_WITHIN).until(() -> countedChats() == 1);
+    Awaitility.await().atMost(METRICS_TIMEOUT).until(() -> countedChats() == 1);
   }
 
   private int countedChats() {
--- a/hawthornlb-app/src/test/java/io/hawthornlb/app/entry/EntryRunOnceTest.java
+++ b/hawthornlb-app/src/test/java/io/hawthornlb/app/entry/EntryRunOnceTest.java
@@ -40,16 +40,17 @@
     fleet.close();
   }
 
-  // The check-in app gets no answer in time and sends the same check-in again through another
-  // entry. Run twice, the worker would be paid twice; so the second gets the first one's answer.
+  // A client does not receive an answer in time and resends the call through another entry
+  // instance.
+  // If the call ran twice, a worker would be paid twice. The resend must receive the first answer.
   @Test
-  void resendThroughAnotherEntryRunsNothing() {
-    HttpResponse<String> before = awaitAnswer(checkIn(first, "key-1", "worker 17"));
+  void resendThroughAnotherEntryReturnsFirstAnswer() {
+    HttpResponse<String> original = awaitAnswer(checkIn(first, "key-1", "worker 17"));
 
-    HttpResponse<String> again = fleet.send(checkIn(second, "key-1", "worker 17"));
+    HttpResponse<String> resent = fleet.send(checkIn(second, "key-1", "worker 17"));
 
-    assertEquals(200, again.statusCode(), again.body());
-    assertEquals(before.body(), again.body());
+    assertEquals(200, resent.statusCode(), resent.body());
+    assertEquals(original.body(), resent.body());
     assertEquals(1, fleet.callsOf("key-1"));
   }
 
@@ -64,12 +65,15 @@
     assertEquals(1, fleet.callsOf("key-2"));
   }
 
-  // The platform goes away on the night of a wedding. Check-ins go on, since the witnesses of the
-  // claim hold each intent before its dispatch. An instance can only decide for a key whose
-  // partition it had claimed before; partitions are claimed one after the other at the start.
+  // The platform becomes unreachable. Run-once calls must still be served, since the replicas of
+  // the
+  // claim store each intent before the call is dispatched. An instance can decide only for keys of
+  // partitions that it claimed before; partitions are claimed one after another at the start. The
+  // test
+  // therefore first awaits an answer for another key of the same partition.
   @Test
-  void checkInsGoOnWhileThePlatformIsAway() {
-    awaitAnswer(checkIn(first, keyBeside("key-4"), "worker 20"));
+  void servesRunOnceCallsWhilePlatformIsDown() {
+    awaitAnswer(checkIn(first, otherKeyOfSamePartition("key-4"), "worker 20"));
 
     fleet.platformDown();
     HttpResponse<String> during = fleet.send(checkIn(second, "key-4", "worker 21"));
@@ -78,8 +82,8 @@
     assertEquals(1, fleet.callsOf("key-4"));
   }
 
-  /** Returns another key that the same instance decides for. */
-  private static String keyBeside(String key) {
+  /** Returns another key of the same partition, for which the same instance decides. */
+  private static String otherKeyOfSamePartition(String key) {
     PartitionId wanted = partition(key);
     return IntStream.iterate(0, number -> number + 1)
         .mapToObj(number -> "beside-" + number)
--- a/hawthornlb-app/src/test/java/io/hawthornlb/app/entry/EntryStreamFailureTest.java
+++ b/hawthornlb-app/src/test/java/io/hawthornlb/app/entry/EntryStreamFailureTest.java
@@ -24,7 +24,7 @@
   private static final int TOKENS = 300;
   private static final String END = "data: [DONE]";
   private static final Pattern TOKEN = Pattern.compile("\"hawthornlb_token\":(\\d+)");
-  private static final String ASK =
+  private static final String CHAT_REQUEST =
       "{\"model\":\"brief-llm\",\"stream\":true,\"max_tokens\":"
           + TOKENS
           + ",\"messages\":[{\"role\":\"user\",\"content\":\"Which shoes?\"}]}";
@@ -47,16 +47,20 @@
     fleet.close();
   }
 
-  // Something between entry and engine loses track of their connection in the middle of a stream:
-  // it stays open and no byte comes, while new connections work. The caller would wait until the
-  // deadline; it must get every token once and the end marker.
+  // A network device between the entry instance and the engine loses the state of their connection
+  // in
+  // the middle of a stream. The connection stays open without delivering data, while new
+  // connections
+  // work. The caller must not wait until the deadline: it must receive every token once, and the
+  // end
+  // marker.
   @Test
-  void aStreamGoesOnOverAnotherConnectionWhenItsOwnFallsSilent() throws Exception {
+  void streamResumesOverNewConnectionWhenItsOwnStalls() throws Exception {
     BufferedReader stream = open();
-    String begun = stream.readLine();
+    String firstLine = stream.readLine();
 
     fleet.fault(engine, "silent");
-    String all = begun + rest(stream);
+    String all = firstLine + readRest(stream);
 
     assertTrue(all.trim().endsWith(END), all);
     List<Integer> tokens =
@@ -64,26 +68,29 @@
     assertEquals(IntStream.rangeClosed(0, TOKENS).boxed().toList(), tokens);
   }
 
-  // The engine dies in the middle of a stream. The caller has a part of the answer and must not
-  // take it for the whole: the stream ends without the end marker.
+  // The engine stops in the middle of a stream, when the caller has received a part of the answer.
+  // The
+  // stream must end without the end marker, so that the caller does not take the part for a
+  // complete
+  // answer.
   @Test
-  void aPartOfAnAnswerNeverLooksWhole() throws Exception {
+  void partialAnswerHasNoEndMarker() throws Exception {
     BufferedReader stream = open();
-    String begun = stream.readLine();
+    String firstLine = stream.readLine();
 
     engine.close();
 
-    assertFalse((begun + rest(stream)).contains(END));
+    assertFalse((firstLine + readRest(stream)).contains(END));
   }
 
   private BufferedReader open() throws Exception {
     return new BufferedReader(
         new InputStreamReader(
-            fleet.stream(TestFleet.chat(entry, ASK)).get(30, TimeUnit.SECONDS).body(),
+            fleet.stream(TestFleet.chat(entry, CHAT_REQUEST)).get(30, TimeUnit.SECONDS).body(),
             StandardCharsets.UTF_8));
   }
 
-  private static String rest(BufferedReader stream) {
+  private static String readRest(BufferedReader stream) {
     StringBuilder read = new StringBuilder();
     try {
       for (String line = stream.readLine(); line != null; line = stream.readLine()) {
--- a/hawthornlb-app/src/test/java/io/hawthornlb/app/entry/PolicyHeapBench.java
+++ b/hawthornlb-app/src/test/java/io/hawthornlb/app/entry/PolicyHeapBench.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 
-/** Heap and processor time of what an entry knows about endpoints, peers and workspaces. */
+/** Measures heap use and CPU time of the state of endpoints, peers and workspaces at an entry. */
 @Tag("bench")
 class PolicyHeapBench {
 
@@ -34,7 +34,7 @@
   private static final InstanceId SELF = new InstanceId("entry-0");
   private static final int PEERS = 390;
 
-  /** Kept until the heap has been read. */
+  /** Keeps the measured state reachable until the heap use has been read. */
   private Object kept = SELF;
 
   @Test
@@ -113,7 +113,7 @@
         keys, digest, entries);
   }
 
-  /** One entry in 39 has a demand for a key. */
+  /** Creates a digest with every 39th key, so that one entry instance in 39 demands each key. */
   private static DemandDigest digest(int peer, int keys) {
     List<Demand> demands = new ArrayList<>();
     for (int key = peer % 39; key < keys; key += 39) {
--- a/hawthornlb-app/src/test/java/io/hawthornlb/app/entry/WitnessBench.java
+++ b/hawthornlb-app/src/test/java/io/hawthornlb/app/entry/ReplicaBench.java
@@ -20,9 +20,9 @@
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 
-/** Bytes, processor time and heap of entries that a witness stores. */
+/** Measures message size, CPU time and heap use of the entries that a replica stores. */
 @Tag("bench")
-class WitnessBench {
+class ReplicaBench {
 
   private static final InstanceId HOLDER = new InstanceId("entry-117");
   private static final Epoch EPOCH = new Epoch(100_000);
@@ -52,7 +52,7 @@
                     .ifPresent(store -> table.store((StoreEntries) store, CapacityFixture.START)));
     System.out.printf(
         Locale.ROOT,
-        "| %s | %d bytes | %.1f us to encode | %.1f us to decode and take |%n",
+        "| %s | %d bytes | %.1f us to encode | %.1f us to decode and handle |%n",
         name,
         bytes.length,
         encode,
@@ -73,7 +73,7 @@
       double used = CapacityFixture.usedBytes() - before;
       System.out.printf(
           Locale.ROOT,
-          "| witness with %d keys and results of 400 bytes | %.0f bytes a key |%n",
+          "| replica with %d keys and results of 400 bytes | %.0f bytes a key |%n",
           table.size(),
           used / keys);
     }
--- a/hawthornlb-app/src/test/java/io/hawthornlb/app/entry/TestFleet.java
+++ b/hawthornlb-app/src/test/java/io/hawthornlb/app/entry/TestFleet.java
@@ -41,7 +41,7 @@
 import java.util.regex.Pattern;
 import org.awaitility.Awaitility;
 
-/** Stand-ins and entries of a small fleet in one process, over real sockets. */
+/** A small fleet of stand-ins and entry instances in one process, connected by real sockets. */
 final class TestFleet implements AutoCloseable {
 
   static final String KEY = "test-key";
@@ -52,7 +52,7 @@
 
   private static final String LOOPBACK = "127.0.0.1";
   private static final String DATA_CENTRE = "ruwi";
-  private static final Duration PATIENCE = Duration.ofSeconds(20);
+  private static final Duration TIMEOUT = Duration.ofSeconds(20);
 
   private final HttpClient http = HttpClient.newHttpClient();
   private final RunningStandin platform;
@@ -83,25 +83,25 @@
     return addEntry(id, List.of());
   }
 
-  /** Adds an entry that knows others from its settings. */
+  /** Adds an entry instance whose settings name other entry instances. */
   EntryProcess addEntry(String id, List<KnownPeer> known) {
     EntryProcess entry = EntryProcess.start(entrySettings(id, known));
     entries.add(entry);
     return entry;
   }
 
-  /** Stops an entry gracefully. */
+  /** Stops an entry instance gracefully. */
   void stop(EntryProcess entry) {
     entries.remove(entry);
     entry.close();
   }
 
-  /** Lets the platform answer every call with 503 until the fleet ends. */
+  /** Makes the platform answer every call with 503 until the fleet is closed. */
   void platformDown() {
     fault(platform, "down");
   }
 
-  /** Brings a fault about at a stand-in until the fleet ends. */
+  /** Injects a fault at a stand-in until the fleet is closed. */
   void fault(RunningStandin standin, String kind) {
     String body = "{\"kind\":\"" + kind + "\",\"forMillis\":600000}";
     HttpRequest fault =
@@ -110,11 +110,11 @@
             .POST(HttpRequest.BodyPublishers.ofString(body))
             .build();
     if (send(fault).statusCode() >= 300) {
-      throw new IllegalStateException("the stand-in took no fault");
+      throw new IllegalStateException("the stand-in did not accept the fault");
     }
   }
 
-  /** Returns how often the services have run a call with a key. */
+  /** Returns how many times the services have run a call with a key. */
   int callsOf(String key) {
     int calls = 0;
     for (RunningStandin endpoint : endpoints) {
@@ -128,21 +128,21 @@
 
   void awaitReady(EntryProcess entry) {
     Awaitility.await()
-        .atMost(PATIENCE)
+        .atMost(TIMEOUT)
         .until(() -> send(get(entry, "/health/ready")).statusCode() == 200);
   }
 
-  /** Puts the test catalogue in force through the log. */
+  /** Submits the test catalogue and waits until the entry instance has accepted it. */
   void putCatalogue(EntryProcess entry) {
     HttpRequest put =
         HttpRequest.newBuilder(uri(entry, "/v1/catalogue"))
-            .timeout(PATIENCE)
+            .timeout(TIMEOUT)
             .header("Authorization", "Bearer " + OPERATOR_KEY)
             .header("If-Match", "-1")
             .header("X-Author", "tester")
             .PUT(HttpRequest.BodyPublishers.ofString(new CatalogueWriter().write(catalogue())))
             .build();
-    Awaitility.await().atMost(PATIENCE).until(() -> send(put).statusCode() == 200);
+    Awaitility.await().atMost(TIMEOUT).until(() -> send(put).statusCode() == 200);
   }
 
   static HttpRequest chat(EntryProcess entry, String body) {
@@ -158,7 +158,7 @@
 
   static HttpRequest.Builder to(EntryProcess entry, String path) {
     return HttpRequest.newBuilder(uri(entry, path))
-        .timeout(PATIENCE)
+        .timeout(TIMEOUT)
         .header("Authorization", "Bearer " + KEY);
   }
 
@@ -218,7 +218,7 @@
         .build();
   }
 
-  /** Returns an entry as the settings of another one name it. */
+  /** Returns the settings with which another entry instance names an entry instance. */
   static KnownPeer known(String id, EntryProcess entry) {
     String address = entry.peerAddress();
     int port = Integer.parseInt(address.substring(address.indexOf(':') + 1));
