--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/PolicyExchange.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/PolicyExchange.java
@@ -1,6 +1,6 @@
 package io.hawthornlb.app.entry;
 
-import static io.hawthornlb.app.entry.MessageHandlers.heard;
+import static io.hawthornlb.app.entry.MessageHandlers.oneWay;
 
 import io.hawthornlb.core.admission.DemandDigest;
 import io.hawthornlb.core.effect.BroadcastScope;
@@ -12,7 +12,7 @@
 import io.hawthornlb.net.peer.PeerHandlerRegistry;
 import java.time.InstantSource;
 
-/** Keeps the policies of all entries in step: digests go out, those of peers come in. */
+/** Exchanges the state of the policies between entry instances, mostly as digests. */
 final class PolicyExchange {
 
   private final OnlinePolicies policies;
@@ -25,35 +25,35 @@
     this.clock = clock;
   }
 
-  /** Adds the handlers of what peers say about policies. */
+  /** Registers the handlers of policy messages of peers. */
   void register(PeerHandlerRegistry.Builder builder) {
     builder
         .register(
             EndpointNotice.class,
-            heard(notice -> policies.endpoints().onNotice(notice, clock.instant())))
+            oneWay(notice -> policies.endpoints().onNotice(notice, clock.instant())))
         .register(
             InFlightDigest.class,
-            heard(digest -> policies.inFlight().onDigest(digest, clock.instant())))
+            oneWay(digest -> policies.inFlight().onDigest(digest, clock.instant())))
         .register(
             DemandDigest.class,
-            heard(digest -> policies.shares().onDigest(digest, clock.instant())))
+            oneWay(digest -> policies.shares().onDigest(digest, clock.instant())))
         .register(
             CrashNotice.class,
-            heard(notice -> policies.suspects().onNotice(notice, clock.instant())))
+            oneWay(notice -> policies.suspects().onNotice(notice, clock.instant())))
         .register(
             ClearNotice.class,
-            heard(notice -> policies.suspects().onClear(notice, clock.instant())))
-        .register(QuarantineNotice.class, heard(this::quarantine))
+            oneWay(notice -> policies.suspects().onClear(notice, clock.instant())))
+        .register(QuarantineNotice.class, oneWay(this::quarantine))
         .register(
             LoadNotice.class,
-            heard(
+            oneWay(
                 notice ->
                     policies
                         .endpoints()
                         .onLoad(notice.endpoint(), notice.report(), clock.instant())))
         .register(
             CacheNotice.class,
-            heard(
+            oneWay(
                 notice ->
                     policies
                         .prefixes()
@@ -61,21 +61,22 @@
   }
 
   /**
-   * Sends what changed in flight to the own data centre; a few times a second.
+   * Broadcasts changes of the in-flight counts within the data centre. Call this method a few times
+   * a second.
    *
-   * <p>Entries elsewhere see it in the load reports, and the steward of an endpoint hears of each
-   * request at once.
+   * <p>Entry instances in other data centres see the in-flight requests in the load reports, and
+   * the dispatcher of an endpoint is notified of each request immediately.
    */
   void sendInFlight() {
     policies
         .inFlight()
         .digest(clock.instant())
-        .ifPresent(digest -> peers.spread(digest, BroadcastScope.DATA_CENTRE));
+        .ifPresent(digest -> peers.broadcast(digest, BroadcastScope.DATA_CENTRE));
   }
 
-  /** Sends the demand of this entry; once a second. */
+  /** Broadcasts the demand of this instance to the fleet. Call this method once a second. */
   void sendDemand() {
-    peers.spread(policies.shares().digest(clock.instant()), BroadcastScope.FLEET);
+    peers.broadcast(policies.shares().digest(clock.instant()), BroadcastScope.FLEET);
   }
 
   private void quarantine(QuarantineNotice notice) {
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/http/NettyHttpCaller.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/http/NettyHttpCaller.java
@@ -120,7 +120,7 @@
               (io.netty.channel.ChannelFutureListener)
                   connected -> {
                     if (!connected.isSuccess()) {
-                      fail("no connection to " + call.address() + ": " + connected.cause());
+                      fail("No connection to " + call.address() + ": " + connected.cause());
                     } else if (result.isDone()) {
                       connected.channel().close();
                     } else {
@@ -149,7 +149,7 @@
 
     private void onTimeout() {
       closeIdle(call.address());
-      fail("no reply from " + call.address() + " within " + call.timeout());
+      fail("No reply from " + call.address() + " within " + call.timeout());
       if (channel != null) {
         channel.close();
       }
@@ -212,7 +212,7 @@
       } else if (!response.decoderResult().isSuccess()) {
         pending = null;
         ctx.close();
-        waiting.fail("the reply is not HTTP");
+        waiting.fail("The reply is not HTTP");
       } else if (!interim) {
         // An interim reply only announces the final one.
         reply = new HttpReply(response.status().code(), ByteBufUtil.getBytes(response.content()));
@@ -237,7 +237,7 @@
       Pending waiting = pending;
       pending = null;
       if (waiting != null) {
-        waiting.failClosed("the connection closed before a complete reply" + cause);
+        waiting.failClosed("The connection closed before a whole reply" + cause);
       }
       ctx.fireChannelInactive();
     }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/relay/RelayServer.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/relay/RelayServer.java
@@ -111,9 +111,9 @@
       } else if (call.target() == RelayTarget.JOBS) {
         handleJobCall(channel, call);
       } else if (unavailable.getAsBoolean()) {
-        refuse(channel, call, "this gateway cannot reach the store either");
+        refuse(channel, call, "this gateway does not reach the store either");
       } else if (calls >= MAX_CALLS) {
-        refuse(channel, call, "this gateway has reached its limit of store calls for peers");
+        refuse(channel, call, "this gateway makes enough calls for others");
       } else {
         callStore(channel, call);
       }
@@ -131,7 +131,7 @@
 
     private void handleJobCall(Channel channel, RelayMessage.Call call) {
       if (jobCalls >= MAX_JOB_CALLS || unsentBytes > MAX_UNSENT_BYTES) {
-        refuse(channel, call, "this gateway has reached its limit of calls about jobs");
+        refuse(channel, call, "this gateway answers enough calls about jobs");
         return;
       }
       // The call is counted only after it was made. A call that throws would otherwise stay counted
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/relay/RelayedJobCalls.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/relay/RelayedJobCalls.java
@@ -69,23 +69,23 @@
 
     @Override
     public void head(int status, HttpHeaders headers) {
-      throw new UnsupportedOperationException("Responses about jobs are not streamed");
+      throw new UnsupportedOperationException("Answers about jobs are whole");
     }
 
     @Override
     public void part(ByteBuf content) {
       content.release();
-      throw new UnsupportedOperationException("Responses about jobs are not streamed");
+      throw new UnsupportedOperationException("Answers about jobs are whole");
     }
 
     @Override
     public void end() {
-      throw new UnsupportedOperationException("Responses about jobs are not streamed");
+      throw new UnsupportedOperationException("Answers about jobs are whole");
     }
 
     @Override
     public void breakOff() {
-      reply.completeExceptionally(new IllegalStateException("The response was aborted"));
+      reply.completeExceptionally(new IllegalStateException("The answer was broken off"));
     }
 
     @Override
