--- a/hawthornlb-net/src/main/java/io/hawthornlb/net/codec/CodecException.java
+++ b/hawthornlb-net/src/main/java/io/hawthornlb/net/codec/CodecException.java
@@ -2,7 +2,11 @@
 
 import org.jspecify.annotations.Nullable;
 
-/** Thrown when bytes are no value of the expected types; the sender speaks another protocol. */
+/**
+ * Thrown when a value cannot be encoded, or when bytes are not a value of an expected type.
+ *
+ * <p>If decoding fails, the sender most likely uses another protocol.
+ */
 public class CodecException extends RuntimeException {
 
   private static final long serialVersionUID = 1L;
--- a/hawthornlb-net/src/main/java/io/hawthornlb/net/codec/ExactTimeModule.java
+++ b/hawthornlb-net/src/main/java/io/hawthornlb/net/codec/ExactTimeModule.java
@@ -14,8 +14,8 @@
 /**
  * Writes instants and durations as an array of seconds and nanoseconds.
  *
- * <p>The usual form is a decimal number of seconds, which MessagePack has no type for: a time that
- * is no exact double could not be sent at all.
+ * <p>Jackson by default writes a decimal number of seconds. MessagePack has no decimal type, so a
+ * time that a double cannot represent exactly would fail to encode.
  */
 final class ExactTimeModule extends SimpleModule {
 
@@ -36,7 +36,7 @@
   private static long[] read(JsonParser in) throws IOException {
     long[] parts = in.readValueAs(long[].class);
     if (parts.length != 2) {
-      throw new CodecException("expected seconds and nanoseconds", null);
+      throw new CodecException("expected an array of seconds and nanoseconds", null);
     }
     return parts;
   }
--- a/hawthornlb-net/src/main/java/io/hawthornlb/net/codec/MessagePackCodec.java
+++ b/hawthornlb-net/src/main/java/io/hawthornlb/net/codec/MessagePackCodec.java
@@ -10,19 +10,19 @@
 import org.msgpack.jackson.dataformat.MessagePackFactory;
 
 /**
- * Encodes values as a MessagePack array of type name and content.
+ * Encodes a value as a MessagePack array of its type name and its content.
  *
- * <p>Unknown type names decode to empty, so that instances of an older version pass over records of
- * a newer one. Unknown members of a known type are ignored.
+ * <p>A value with an unknown type name decodes to empty, so that instances of an older version skip
+ * records that only a newer version knows. Unknown members of a known type are ignored.
  *
- * @param <T> the common type of the values
+ * @param <T> the common supertype of the values
  */
 public final class MessagePackCodec<T> {
 
   private final TypeRegistry<T> registry;
   private final ObjectMapper mapper;
 
-  /** Creates a codec for the types of a registry. */
+  /** Creates a codec for the registered types. */
   public MessagePackCodec(TypeRegistry<T> registry) {
     this.registry = registry;
     this.mapper = createMapper();
@@ -49,7 +49,7 @@
   /**
    * Returns the decoded value, or empty if its type is unknown to this version.
    *
-   * @throws CodecException if the bytes are no encoded value
+   * @throws CodecException if the bytes are not an encoded value
    */
   public Optional<T> decode(byte[] bytes) {
     try {
--- a/hawthornlb-net/src/main/java/io/hawthornlb/net/codec/PartitionTypes.java
+++ b/hawthornlb-net/src/main/java/io/hawthornlb/net/codec/PartitionTypes.java
@@ -32,12 +32,17 @@
 import io.hawthornlb.core.runonce.WitnessesNamed;
 import io.hawthornlb.core.runonce.WitnessesReleased;
 
-/** Names of the records and messages of partitions; a name never changes its meaning. */
+/**
+ * Registers the wire names of the records and messages of partitions.
+ *
+ * <p>A name that has been used must never be given to another type, since stored records and other
+ * versions still use the name with the old meaning.
+ */
 public final class PartitionTypes {
 
   private PartitionTypes() {}
 
-  /** Adds the records of the streams of partitions. */
+  /** Registers the records of the partition streams. */
   public static TypeRegistry.Builder<RecordBody> records(TypeRegistry.Builder<RecordBody> builder) {
     return builder
         .register("partition-opened", PartitionOpened.class)
@@ -53,7 +58,7 @@
         .register("witnesses-released", WitnessesReleased.class);
   }
 
-  /** Adds the messages between holders, stewards, witnesses and other entries. */
+  /** Registers the messages between holders, dispatchers, replicas and other entry instances. */
   public static TypeRegistry.Builder<PeerMessage> messages(
       TypeRegistry.Builder<PeerMessage> builder) {
     return builder
--- a/hawthornlb-net/src/main/java/io/hawthornlb/net/codec/TypeRegistry.java
+++ b/hawthornlb-net/src/main/java/io/hawthornlb/net/codec/TypeRegistry.java
@@ -6,9 +6,9 @@
 import java.util.Optional;
 
 /**
- * Maps the short type names on the wire to the types that they stand for.
+ * Maps the short type names used on the wire to the Java types that they identify.
  *
- * @param <T> the common type
+ * @param <T> the common supertype of the registered types
  */
 public final class TypeRegistry<T> {
 
@@ -21,43 +21,48 @@
     this.typesByName.forEach((name, type) -> namesByType.put(type, name));
   }
 
-  /** Starts an empty registry. */
+  /** Returns a builder without any types. */
   public static <T> Builder<T> builder() {
     return new Builder<>();
   }
 
-  /** Returns the type of a name, or empty for one that this version does not know. */
+  /** Returns the type registered under a name, or empty if this version does not know the name. */
   public Optional<Class<? extends T>> type(String name) {
     return Optional.ofNullable(typesByName.get(name));
   }
 
   /**
-   * Returns the name of a type.
+   * Returns the name under which a type is registered.
    *
    * @throws IllegalArgumentException if the type is not registered
    */
   public String name(Class<?> type) {
     String name = namesByType.get(type);
-    Checks.isTrue(name != null, "type " + type.getName() + " is not registered; add it");
+    Checks.isTrue(
+        name != null, "type " + type.getName() + " is not registered; add it to the type registry");
     return name;
   }
 
   /**
-   * Collects the types of a registry.
+   * Builds a {@link TypeRegistry}.
    *
-   * @param <T> the common type
+   * @param <T> the common supertype of the registered types
    */
   public static final class Builder<T> {
 
     private final Map<String, Class<? extends T>> types = new HashMap<>();
 
-    /** Adds a type; a name stands for one type only. */
+    /**
+     * Registers a type under a name.
+     *
+     * @throws IllegalArgumentException if the name is already registered
+     */
     public Builder<T> register(String name, Class<? extends T> type) {
-      Checks.isTrue(types.put(name, type) == null, "type name " + name + " is taken");
+      Checks.isTrue(types.put(name, type) == null, "type name " + name + " is already registered");
       return this;
     }
 
-    /** Returns the registry. */
+    /** Builds a registry of the types registered so far. */
     public TypeRegistry<T> build() {
       return new TypeRegistry<>(types);
     }
--- a/hawthornlb-net/src/test/java/io/hawthornlb/net/codec/MessagePackCodecTest.java
+++ b/hawthornlb-net/src/test/java/io/hawthornlb/net/codec/MessagePackCodecTest.java
@@ -21,7 +21,7 @@
           TypeRegistry.<RecordBody>builder().register("sample", Sample.class).build());
 
   @Test
-  void decodesWhatItEncoded() {
+  void decodesEncodedValue() {
     Sample sample =
         new Sample(
             new JobId("j-1"),
@@ -33,8 +33,9 @@
     assertEquals(Optional.of(sample), codec.decode(codec.encode(sample)));
   }
 
-  // Entries stop hearing from each other: each message with a time that is no exact double, such
-  // as one with odd nanoseconds, fails to encode, and clocks give such times almost always.
+  // Guards against messages that cannot be encoded. With Jackson's default time format, encoding
+  // fails for each time that is not an exact double. Nearly all times read from a clock have such
+  // nanoseconds, so the entry instances would receive no more messages from each other.
   @Test
   void keepsTimesToTheNanosecond() {
     Sample sample =
@@ -49,7 +50,7 @@
   }
 
   @Test
-  void passesOverTypesOfNewerVersions() {
+  void decodesUnknownTypeToEmpty() {
     MessagePackCodec<RecordBody> newer =
         new MessagePackCodec<>(
             TypeRegistry.<RecordBody>builder().register("other", Sample.class).build());
@@ -61,7 +62,7 @@
   }
 
   @Test
-  void refusesBytesThatAreNoValue() {
+  void rejectsInvalidBytes() {
     assertThrows(CodecException.class, () -> codec.decode(new byte[] {1, 2, 3}));
   }
 }
--- a/hawthornlb-net/src/test/java/io/hawthornlb/net/codec/PartitionTypesTest.java
+++ b/hawthornlb-net/src/test/java/io/hawthornlb/net/codec/PartitionTypesTest.java
@@ -79,7 +79,7 @@
       INTENT.completed(new ServiceResult(201, List.of(new HeaderField("etag", "x")), "ok"));
 
   @Test
-  void recordsComeBackAsTheyWere() {
+  void recordsSurviveEncoding() {
     MessagePackCodec<RecordBody> codec =
         new MessagePackCodec<>(PartitionTypes.records(TypeRegistry.builder()).build());
     List<RecordBody> bodies =
@@ -114,7 +114,7 @@
   }
 
   @Test
-  void snapshotComesBackAsItWas() {
+  void snapshotSurvivesEncoding() {
     MessagePackCodec<RecordBody> codec =
         new MessagePackCodec<>(PartitionTypes.records(TypeRegistry.builder()).build());
     JobSnapshot snapshot =
@@ -131,15 +131,15 @@
             Optional.of(AT),
             true);
     byte[] bytes = codec.encode(snapshot);
-    JobSnapshot back = (JobSnapshot) codec.decode(bytes).orElseThrow();
+    JobSnapshot decoded = (JobSnapshot) codec.decode(bytes).orElseThrow();
 
-    assertArrayEquals(snapshot.ended(), back.ended());
-    assertEquals(snapshot.results(), back.results());
-    assertArrayEquals(bytes, codec.encode(back));
+    assertArrayEquals(snapshot.ended(), decoded.ended());
+    assertEquals(snapshot.results(), decoded.results());
+    assertArrayEquals(bytes, codec.encode(decoded));
   }
 
   @Test
-  void messagesComeBackAsTheyWere() {
+  void messagesSurviveEncoding() {
     MessagePackCodec<PeerMessage> codec =
         new MessagePackCodec<>(PartitionTypes.messages(TypeRegistry.builder()).build());
     RequestId request = new RequestId("r");
