--- a/hawthornlb-net/src/main/java/io/hawthornlb/net/platform/AppendStatistics.java
+++ b/hawthornlb-net/src/main/java/io/hawthornlb/net/platform/AppendStatistics.java
@@ -1,14 +1,14 @@
 package io.hawthornlb.net.platform;
 
 /**
- * What a writer has appended so far.
+ * Counters of the append calls and records of a {@link LogWriter}.
  *
- * @param calls append calls, resends included
- * @param records records in these calls, resends included
- * @param failedCalls calls without a usable answer
- * @param recordsGivenUp records that are no longer sent
+ * @param calls append calls, including resends
+ * @param records records in these calls, including resends
+ * @param failedCalls append calls without a usable response
+ * @param recordsGivenUp records that were rejected or are no longer resent
  * @param callsLastSecond append calls in the last whole second
- * @param pending records that wait now
+ * @param pending records that are waiting now
  */
 public record AppendStatistics(
     long calls,
--- a/hawthornlb-net/src/main/java/io/hawthornlb/net/platform/InstanceList.java
+++ b/hawthornlb-net/src/main/java/io/hawthornlb/net/platform/InstanceList.java
@@ -5,10 +5,10 @@
 import java.util.List;
 
 /**
- * The platform's list of live and leaving processes, which lags.
+ * The platform's list of live and leaving processes, which lags behind their real state.
  *
- * @param asOf the time at which the list was true, by the platform's clock
- * @param processes entries and endpoints
+ * @param asOf the time at which the list was current, by the platform's clock
+ * @param processes the entry instances and endpoints
  */
 public record InstanceList(Instant asOf, List<ListedProcess> processes) {
 
--- a/hawthornlb-net/src/main/java/io/hawthornlb/net/platform/LogClient.java
+++ b/hawthornlb-net/src/main/java/io/hawthornlb/net/platform/LogClient.java
@@ -5,21 +5,21 @@
 import java.util.List;
 import java.util.concurrent.CompletionStage;
 
-/** The platform's append-only log; every call may fail after it took effect. */
+/** Client of the platform's append-only log. An append may take effect although the call fails. */
 public interface LogClient {
 
   /**
-   * Appends records in one call and returns the offset of the first.
+   * Appends records in one call and returns the offset of the first record.
    *
-   * <p>The stage fails with {@link LogUnavailableException} when no answer came; the records may
-   * then stand in the stream or not.
+   * <p>The stage fails with {@link LogUnavailableException} if there is no usable response. It is
+   * then unknown whether the stream contains the records.
    */
   CompletionStage<Long> append(StreamName stream, List<byte[]> records);
 
   /**
-   * Reads records from an offset on, waiting for the first at most {@code wait}.
+   * Reads records starting at an offset, and waits at most {@code wait} for the first record.
    *
-   * <p>The stage fails with {@link OffsetExpiredException} when the offset is no longer retained.
+   * <p>The stage fails with {@link OffsetExpiredException} if the offset is no longer retained.
    */
   CompletionStage<LogPage> read(StreamName stream, long from, int max, Duration wait);
 }
--- a/hawthornlb-net/src/main/java/io/hawthornlb/net/platform/OffsetExpiredException.java
+++ b/hawthornlb-net/src/main/java/io/hawthornlb/net/platform/OffsetExpiredException.java
@@ -1,6 +1,6 @@
 package io.hawthornlb.net.platform;
 
-/** Thrown when an offset is no longer retained; read on from the first retained one. */
+/** Thrown when an offset is no longer retained. Reading can continue at the first retained one. */
 public class OffsetExpiredException extends RuntimeException {
 
   private static final long serialVersionUID = 1L;
--- a/hawthornlb-net/src/main/java/io/hawthornlb/net/platform/PlatformUnavailableException.java
+++ b/hawthornlb-net/src/main/java/io/hawthornlb/net/platform/PlatformUnavailableException.java
@@ -2,7 +2,7 @@
 
 import org.jspecify.annotations.Nullable;
 
-/** Thrown when the platform gave no usable answer; ask again, the call may be repeated. */
+/** Thrown when the platform gave no usable response. The call is idempotent and can be retried. */
 public class PlatformUnavailableException extends RuntimeException {
 
   private static final long serialVersionUID = 1L;
--- a/hawthornlb-net/src/main/java/io/hawthornlb/net/platform/StoredRecord.java
+++ b/hawthornlb-net/src/main/java/io/hawthornlb/net/platform/StoredRecord.java
@@ -3,10 +3,10 @@
 import java.time.Instant;
 
 /**
- * One record as the platform keeps it.
+ * A record as the platform stores it.
  *
- * @param offset its place in the stream
- * @param appendedAt when the platform took it
+ * @param offset the position of the record in the stream
+ * @param appendedAt when the platform appended the record
  * @param data the encoded record
  */
 public record StoredRecord(long offset, Instant appendedAt, byte[] data) {}
--- a/hawthornlb-net/src/main/java/io/hawthornlb/net/platform/package-info.java
+++ b/hawthornlb-net/src/main/java/io/hawthornlb/net/platform/package-info.java
@@ -1,4 +1,4 @@
-/** Clients of the platform: log, instance list and weight store. */
+/** Clients of the platform's log and instance list. */
 @NullMarked
 package io.hawthornlb.net.platform;
 
--- a/hawthornlb-net/src/main/java/io/hawthornlb/net/platform/support/AppendMeter.java
+++ b/hawthornlb-net/src/main/java/io/hawthornlb/net/platform/support/AppendMeter.java
@@ -3,7 +3,7 @@
 import io.hawthornlb.net.platform.AppendStatistics;
 import java.time.InstantSource;
 
-/** Counts appends, in total and in the last whole second. Safe for use by several threads. */
+/** Counts append calls, in total and in the last whole second. Safe for use by several threads. */
 final class AppendMeter {
 
   private final InstantSource clock;
--- a/hawthornlb-net/src/main/java/io/hawthornlb/net/platform/support/GroupingLogWriter.java
+++ b/hawthornlb-net/src/main/java/io/hawthornlb/net/platform/support/GroupingLogWriter.java
@@ -24,12 +24,13 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Groups all waiting records of a stream into one append call, with one call in flight a stream.
+ * Groups the waiting records of a stream into one append call, with at most one call in flight for
+ * each stream.
  *
- * <p>An answer can be lost after the append took effect. That shows as a call without an answer
- * whose records then stand in the stream. The writer sends the same ids again until they are
- * answered, seen in the stream or given up; folds drop the second occurrence. Because the next call
- * waits for the last, resent records never come behind later ones.
+ * <p>A response can be lost after the append took effect. The call then fails although the stream
+ * contains the records. The writer resends the same ids until the log acknowledges them, they are
+ * read from the stream or the writer gives up; folds drop the second occurrence. The next call
+ * waits for the previous one to succeed, so that resent records never come after later ones.
  */
 public final class GroupingLogWriter implements LogWriter {
 
@@ -47,8 +48,8 @@
   /**
    * Creates a writer.
    *
-   * @param timers runs resends; must be single-threaded
-   * @param random jitters the waits; used on {@code timers} only
+   * @param timers runs the append calls and resends; must be single-threaded
+   * @param random the source of the backoff jitter; used on {@code timers} only
    */
   public GroupingLogWriter(
       LogClient client,
@@ -75,7 +76,7 @@
     if (waiting.isEmpty()) {
       meter.gaveUp(1);
       return CompletableFuture.failedFuture(
-          new RecordNotAppendedException(effect.id(), "too many records wait", false, null));
+          new RecordNotAppendedException(effect.id(), "too many records are waiting", false, null));
     }
     timers.execute(() -> sendNext(effect.stream(), 0));
     return waiting.get().offset().copy();
@@ -89,7 +90,7 @@
     }
   }
 
-  /** Returns what this writer has appended so far. */
+  /** Returns the counters of this writer. */
   public AppendStatistics statistics() {
     return meter.statistics(queues.values().stream().mapToInt(StreamQueue::size).sum());
   }
@@ -107,7 +108,7 @@
     meter.called(group.size());
     call(stream, group)
         .whenCompleteAsync(
-            (first, failure) -> answered(stream, group, first, failure, failures), timers);
+            (first, failure) -> handleResult(stream, group, first, failure, failures), timers);
   }
 
   private CompletionStage<Long> call(StreamName stream, List<PendingRecord> group) {
@@ -118,14 +119,14 @@
     }
   }
 
-  private void answered(
+  private void handleResult(
       StreamName stream,
       List<PendingRecord> group,
       @Nullable Long first,
       @Nullable Throwable failure,
       int failures) {
     if (first == null) {
-      retryLater(stream, failure, failures + 1);
+      scheduleRetry(stream, failure, failures + 1);
       return;
     }
     for (int i = 0; i < group.size(); i++) {
@@ -135,8 +136,10 @@
     sendNext(stream, 0);
   }
 
-  /** Keeps the call of the stream taken through the wait, so that nothing overtakes the group. */
-  private void retryLater(StreamName stream, @Nullable Throwable failure, int failures) {
+  /**
+   * Keeps the group marked as in flight through the backoff, so that no later record overtakes it.
+   */
+  private void scheduleRetry(StreamName stream, @Nullable Throwable failure, int failures) {
     meter.failed();
     Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
     Duration delay = backoff.delay(failures);
@@ -145,11 +148,11 @@
     }
     LOG.log(
         System.Logger.Level.DEBUG,
-        "log-writer: append to {0} failed {1} times, next in {2}",
+        "log-writer: append to {0} failed {1} times in a row; retrying in {2}",
         stream,
         failures,
         delay);
-    giveUpOld(stream, cause);
+    abandonOldRecords(stream, cause);
     timers.schedule(
         () -> {
           queue(stream).release();
@@ -159,16 +162,21 @@
         TimeUnit.MILLISECONDS);
   }
 
-  private void giveUpOld(StreamName stream, @Nullable Throwable cause) {
+  private void abandonOldRecords(StreamName stream, @Nullable Throwable cause) {
     Instant oldest = clock.instant().minus(settings.giveUpAfter());
-    List<PendingRecord> old = queue(stream).removeBefore(oldest);
-    meter.gaveUp(old.size());
-    for (PendingRecord entry : old) {
-      LOG.log(System.Logger.Level.WARNING, "log-writer: gave up {0} of {1}", entry.id(), stream);
+    List<PendingRecord> abandoned = queue(stream).removeBefore(oldest);
+    meter.gaveUp(abandoned.size());
+    for (PendingRecord entry : abandoned) {
+      LOG.log(
+          System.Logger.Level.WARNING,
+          "log-writer: gave up appending {0} to {1}",
+          entry.id(),
+          stream);
       entry
           .offset()
           .completeExceptionally(
-              new RecordNotAppendedException(entry.id(), "the log stayed away", true, cause));
+              new RecordNotAppendedException(
+                  entry.id(), "the log stayed unavailable", true, cause));
     }
   }
 }
--- a/hawthornlb-net/src/main/java/io/hawthornlb/net/platform/support/HttpInstanceListClient.java
+++ b/hawthornlb-net/src/main/java/io/hawthornlb/net/platform/support/HttpInstanceListClient.java
@@ -21,7 +21,7 @@
 import java.util.concurrent.CompletionStage;
 import org.jspecify.annotations.Nullable;
 
-/** The platform's instance list over HTTP. */
+/** HTTP client of the platform's instance list. */
 public final class HttpInstanceListClient implements InstanceListClient, AutoCloseable {
 
   private static final int FIRST_ERROR_STATUS = 300;
@@ -44,23 +44,23 @@
   @Override
   public CompletionStage<InstanceList> list() {
     return exchange(HttpRequest.GET("/instances"))
-        .thenApply(answer -> readList(PlatformHttp.json(checked(answer))));
+        .thenApply(response -> readList(PlatformHttp.json(requireSuccess(response))));
   }
 
   @Override
   public CompletionStage<Void> announce(ListedProcess process) {
     HttpRequest<String> request =
         PlatformHttp.withJson(HttpRequest.PUT(path(process.id()), ""), write(process));
-    return exchange(request).thenAccept(HttpInstanceListClient::checked);
+    return exchange(request).thenAccept(HttpInstanceListClient::requireSuccess);
   }
 
   @Override
   public CompletionStage<Void> withdraw(String id) {
     return exchange(HttpRequest.DELETE(path(id)))
         .thenAccept(
-            answer -> {
-              if (answer.code() != STATUS_NOT_FOUND) {
-                checked(answer);
+            response -> {
+              if (response.code() != STATUS_NOT_FOUND) {
+                requireSuccess(response);
               }
             });
   }
@@ -72,23 +72,23 @@
 
   private CompletionStage<HttpResponse<byte[]>> exchange(HttpRequest<?> request) {
     return http.exchange(request, timeouts.call())
-        .handle((answer, failure) -> answered(answer, failure));
+        .handle((response, failure) -> requireResponse(response, failure));
   }
 
-  private static HttpResponse<byte[]> answered(
-      @Nullable HttpResponse<byte[]> answer, @Nullable Throwable failure) {
-    if (answer == null) {
-      throw new PlatformUnavailableException("the instance list gave no answer", failure);
+  private static HttpResponse<byte[]> requireResponse(
+      @Nullable HttpResponse<byte[]> response, @Nullable Throwable failure) {
+    if (response == null) {
+      throw new PlatformUnavailableException("the instance list did not respond", failure);
     }
-    return answer;
+    return response;
   }
 
-  private static HttpResponse<byte[]> checked(HttpResponse<byte[]> answer) {
-    if (answer.code() >= FIRST_ERROR_STATUS) {
+  private static HttpResponse<byte[]> requireSuccess(HttpResponse<byte[]> response) {
+    if (response.code() >= FIRST_ERROR_STATUS) {
       throw new PlatformUnavailableException(
-          "the instance list answered with status " + answer.code(), null);
+          "the instance list responded with status " + response.code(), null);
     }
-    return answer;
+    return response;
   }
 
   private static String path(String id) {
--- a/hawthornlb-net/src/main/java/io/hawthornlb/net/platform/support/HttpPlatformLogClient.java
+++ b/hawthornlb-net/src/main/java/io/hawthornlb/net/platform/support/HttpPlatformLogClient.java
@@ -23,7 +23,9 @@
 import java.util.function.Function;
 import org.jspecify.annotations.Nullable;
 
-/** The platform's log over HTTP, on a connection pool for appends and one for long polls. */
+/**
+ * HTTP client of the platform's log, with one connection pool for appends and one for long polls.
+ */
 public final class HttpPlatformLogClient implements LogClient, AutoCloseable {
 
   private static final Duration DEFAULT_RETRY = Duration.ofMillis(200);
@@ -58,8 +60,8 @@
     return appends
         .exchange(request, timeouts.call())
         .handle(
-            (answer, failure) ->
-                answered(answer, failure, json -> json.required("firstOffset").asLong()));
+            (response, failure) ->
+                parseResponse(response, failure, json -> json.required("firstOffset").asLong()));
   }
 
   @Override
@@ -73,7 +75,8 @@
             .formatted(stream, from, max, wait.toMillis());
     return reads
         .exchange(HttpRequest.GET(path), timeouts.withWait(wait))
-        .handle((answer, failure) -> answered(answer, failure, HttpPlatformLogClient::page));
+        .handle(
+            (response, failure) -> parseResponse(response, failure, HttpPlatformLogClient::page));
   }
 
   @Override
@@ -82,24 +85,24 @@
     reads.close();
   }
 
-  private static <T> T answered(
-      @Nullable HttpResponse<byte[]> answer,
+  private static <T> T parseResponse(
+      @Nullable HttpResponse<byte[]> response,
       @Nullable Throwable failure,
       Function<JsonNode, T> reader) {
-    if (answer == null) {
-      throw new LogUnavailableException("the log gave no answer", DEFAULT_RETRY, cause(failure));
+    if (response == null) {
+      throw new LogUnavailableException("the log did not respond", DEFAULT_RETRY, cause(failure));
     }
-    if (answer.code() == STATUS_GONE) {
-      throw new OffsetExpiredException(PlatformHttp.json(answer).path("firstOffset").asLong());
+    if (response.code() == STATUS_GONE) {
+      throw new OffsetExpiredException(PlatformHttp.json(response).path("firstOffset").asLong());
     }
-    if (answer.code() != STATUS_OK) {
-      String message = "the log answered with status " + answer.code();
-      throw new LogUnavailableException(message, retryAfter(answer), null);
+    if (response.code() != STATUS_OK) {
+      String message = "the log responded with status " + response.code();
+      throw new LogUnavailableException(message, retryAfter(response), null);
     }
     try {
-      return reader.apply(PlatformHttp.json(answer));
+      return reader.apply(PlatformHttp.json(response));
     } catch (RuntimeException e) {
-      throw new LogUnavailableException("the log's answer is malformed", DEFAULT_RETRY, e);
+      throw new LogUnavailableException("the log's response is malformed", DEFAULT_RETRY, e);
     }
   }
 
@@ -107,8 +110,8 @@
     return failure instanceof CompletionException ? failure.getCause() : failure;
   }
 
-  private static Duration retryAfter(HttpResponse<?> answer) {
-    return answer
+  private static Duration retryAfter(HttpResponse<?> response) {
+    return response
         .getHeaders()
         .findFirst("Retry-After")
         .filter(text -> text.matches("\\d{1,6}"))
--- a/hawthornlb-net/src/main/java/io/hawthornlb/net/platform/support/JitteredBackoff.java
+++ b/hawthornlb-net/src/main/java/io/hawthornlb/net/platform/support/JitteredBackoff.java
@@ -3,7 +3,9 @@
 import java.time.Duration;
 import java.util.random.RandomGenerator;
 
-/** Doubles the wait after each failure and takes a random part from half of it to the whole. */
+/**
+ * Exponential backoff with jitter: a random delay between half of the doubled wait and all of it.
+ */
 final class JitteredBackoff {
 
   private static final int MAX_DOUBLINGS = 20;
@@ -18,7 +20,7 @@
     this.random = random;
   }
 
-  /** Returns the wait after a number of failures in a row, which counts from 1. */
+  /** Returns the delay after a number of failures in a row, counted from 1. */
   Duration delay(int failures) {
     long doubled = first.toMillis() << Math.min(failures - 1, MAX_DOUBLINGS);
     long whole = Math.min(doubled, longest.toMillis());
--- a/hawthornlb-net/src/main/java/io/hawthornlb/net/platform/support/PlatformHttp.java
+++ b/hawthornlb-net/src/main/java/io/hawthornlb/net/platform/support/PlatformHttp.java
@@ -19,11 +19,11 @@
 import reactor.core.publisher.Mono;
 
 /**
- * Exchanges JSON with the platform, each call bounded in time.
+ * HTTP client that exchanges JSON with the platform, with a timeout for each call.
  *
- * <p>A connection that has gone silent shows as a call that gets no byte. The guard: the call's
- * timeout closes its connection, and idle connections are closed sooner than any call times out, so
- * the next call opens a new one.
+ * <p>A connection can stop delivering data without being closed, so that a call on it receives no
+ * byte. The call's timeout then closes the connection. Idle connections are closed sooner than any
+ * call times out, so that the next call opens a new connection.
  */
 final class PlatformHttp implements AutoCloseable {
 
@@ -31,10 +31,15 @@
 
   private static final Duration IDLE_TIMEOUT = Duration.ofMillis(500);
 
-  /** Time for a call to end by the timeout of its connection, which closes it, before it is cut. */
-  private static final Duration BACKSTOP = Duration.ofMillis(300);
+  /**
+   * Time between a call's timeout and its cancellation.
+   *
+   * <p>In this time the timeout of the connection can end the call, which also closes the
+   * connection.
+   */
+  private static final Duration CANCEL_MARGIN = Duration.ofMillis(300);
 
-  private static final int MAX_ANSWER_BYTES = 32 << 20;
+  private static final int MAX_RESPONSE_BYTES = 32 << 20;
 
   private final HttpClient client;
 
@@ -43,24 +48,24 @@
     configuration.setConnectTimeout(connectTimeout);
     configuration.setReadTimeout(readTimeout);
     configuration.setConnectionPoolIdleTimeout(IDLE_TIMEOUT);
-    configuration.setMaxContentLength(MAX_ANSWER_BYTES);
+    configuration.setMaxContentLength(MAX_RESPONSE_BYTES);
     configuration.setExceptionOnErrorStatus(false);
     configuration.setNumOfThreads(1);
     try {
       this.client = HttpClient.create(baseUri.toURL(), configuration);
     } catch (MalformedURLException e) {
-      throw new IllegalArgumentException("platform address " + baseUri + " is no URL", e);
+      throw new IllegalArgumentException("platform address " + baseUri + " is not a valid URL", e);
     }
   }
 
-  /** Returns the answer, whatever its status; fails when none came within the timeout. */
+  /** Returns the response, whatever its status. Fails if there is none within the timeout. */
   CompletableFuture<HttpResponse<byte[]>> exchange(HttpRequest<?> request, Duration timeout) {
     Argument<byte[]> bytes = Argument.of(byte[].class);
     CompletableFuture<HttpResponse<byte[]>> exchange =
         Mono.from(client.exchange(request, bytes, bytes)).toFuture();
     CompletableFuture<HttpResponse<byte[]>> bounded =
-        exchange.copy().orTimeout(timeout.plus(BACKSTOP).toMillis(), TimeUnit.MILLISECONDS);
-    bounded.whenComplete((answer, failure) -> exchange.cancel(true));
+        exchange.copy().orTimeout(timeout.plus(CANCEL_MARGIN).toMillis(), TimeUnit.MILLISECONDS);
+    bounded.whenComplete((response, failure) -> exchange.cancel(true));
     return bounded;
   }
 
@@ -69,13 +74,13 @@
     return request.contentType("application/json").body(body.toString());
   }
 
-  /** Returns the body of an answer as JSON. */
-  static JsonNode json(HttpResponse<byte[]> answer) {
-    byte[] body = answer.body();
+  /** Returns the body of a response as JSON; an empty object if there is no body. */
+  static JsonNode json(HttpResponse<byte[]> response) {
+    byte[] body = response.body();
     try {
       return MAPPER.readTree(body == null ? "{}".getBytes(StandardCharsets.UTF_8) : body);
     } catch (IOException e) {
-      throw new PlatformUnavailableException("the platform's answer is not JSON", e);
+      throw new PlatformUnavailableException("the platform's response is not JSON", e);
     }
   }
 
--- a/hawthornlb-net/src/main/java/io/hawthornlb/net/platform/support/RecentRecords.java
+++ b/hawthornlb-net/src/main/java/io/hawthornlb/net/platform/support/RecentRecords.java
@@ -8,9 +8,10 @@
 import java.util.List;
 
 /**
- * The last records that were read from one stream, kept for peers that miss them.
+ * Cache of the last records read from one stream, kept for peers that lack them.
  *
- * <p>Bounded by count and bytes; the oldest leave first. Safe for use by several threads.
+ * <p>The cache is bounded by record count and bytes, and evicts the oldest records first. Safe for
+ * use by several threads.
  */
 public final class RecentRecords {
 
@@ -19,7 +20,7 @@
   private final Deque<StoredRecord> records = new ArrayDeque<>();
   private long bytes;
 
-  /** Creates an empty store. */
+  /** Creates an empty cache. */
   public RecentRecords(int maxRecords, long maxBytes) {
     Checks.isTrue(maxRecords > 0, "max records must be positive");
     Checks.isTrue(maxBytes > 0, "max bytes must be positive");
@@ -27,7 +28,7 @@
     this.maxBytes = maxBytes;
   }
 
-  /** Adds the next record; after a gap the records before it are dropped. */
+  /** Adds the next record. If offsets are missing before it, drops all earlier records. */
   public synchronized void add(StoredRecord entry) {
     if (!records.isEmpty() && entry.offset() != nextOffset()) {
       records.clear();
@@ -40,7 +41,9 @@
     }
   }
 
-  /** Returns records without a gap from an offset on, or from the first that is kept. */
+  /**
+   * Returns consecutive records, starting at an offset or at the first cached one if it is higher.
+   */
   public synchronized LogPage from(long offset, int max) {
     if (records.isEmpty() || offset >= nextOffset()) {
       return new LogPage(List.of(), offset, offset);
--- a/hawthornlb-net/src/main/java/io/hawthornlb/net/platform/support/RecordCodec.java
+++ b/hawthornlb-net/src/main/java/io/hawthornlb/net/platform/support/RecordCodec.java
@@ -26,7 +26,7 @@
 
   private final MessagePackCodec<RecordBody> bodies;
 
-  /** Creates a codec for the types of a registry. */
+  /** Creates a codec for the registered record types. */
   public RecordCodec(TypeRegistry<RecordBody> registry) {
     this.bodies = new MessagePackCodec<>(registry);
   }
@@ -46,9 +46,10 @@
   }
 
   /**
-   * Returns the decoded record; its body is an {@link UnknownRecord} if it cannot be read.
+   * Returns the decoded record. Its body is an {@link UnknownRecord} if this version cannot read
+   * it.
    *
-   * @throws CodecException if the bytes are no record of any version
+   * @throws CodecException if the bytes are not a record of any version
    */
   public LogRecord decode(StoredRecord stored) {
     byte[] data = stored.data();
@@ -70,9 +71,9 @@
   /**
    * Returns the body, or an {@link UnknownRecord} if this version cannot read it.
    *
-   * <p>A newer version may write a value that this one refuses, such as a further constant of an
-   * enumeration. It would show as an instance that passes over the record without knowing that its
-   * state lacks something. The fold hears of it and writes no snapshot.
+   * <p>A newer version may write a value that this version rejects, such as a new enum constant. If
+   * the record were skipped as undecodable, the instance would not know that its state is
+   * incomplete. With an {@link UnknownRecord} the fold knows, and writes no snapshot.
    */
   private RecordBody decodeBody(String typeName, byte[] body) {
     try {
--- a/hawthornlb-net/src/main/java/io/hawthornlb/net/platform/support/SharedRecordTypes.java
+++ b/hawthornlb-net/src/main/java/io/hawthornlb/net/platform/support/SharedRecordTypes.java
@@ -9,12 +9,12 @@
 import io.hawthornlb.core.log.RecordBody;
 import io.hawthornlb.net.codec.TypeRegistry;
 
-/** The type names of the records of the streams that every instance folds. */
+/** Registers the wire names of the records in the streams that every instance folds. */
 public final class SharedRecordTypes {
 
   private SharedRecordTypes() {}
 
-  /** Adds the records of the streams {@code catalogue} and {@code claims}. */
+  /** Registers the records of the streams {@code catalogue} and {@code claims}. */
   public static TypeRegistry.Builder<RecordBody> register(
       TypeRegistry.Builder<RecordBody> builder) {
     return builder
--- a/hawthornlb-net/src/main/java/io/hawthornlb/net/platform/support/StreamFollower.java
+++ b/hawthornlb-net/src/main/java/io/hawthornlb/net/platform/support/StreamFollower.java
@@ -27,10 +27,10 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Reads one stream by long polls and feeds it to a fold.
+ * Reads one stream by long polls and applies its records to a fold.
  *
- * <p>Through an outage it asks peers for the records that they have read. It stops when closed or
- * when its executors are shut down.
+ * <p>While the platform is unavailable, the follower asks peers for the records that they have
+ * read. The follower stops when it is closed or when its executors are shut down.
  */
 public final class StreamFollower implements AutoCloseable {
 
@@ -51,8 +51,8 @@
   private volatile @Nullable Instant knownAsOf;
   private volatile boolean closed;
 
-  // On the fold executor only: where to read on, and whether the fold started from a peer's
-  // records.
+  // Used on the fold executor only: the offset of the next read, and whether the fold started from
+  // records of a peer.
   private long position;
   private boolean startedFromPeer;
 
@@ -72,13 +72,13 @@
     this.listener = builder.listener;
   }
 
-  /** Starts a follower of a stream; the fold is used on {@link Builder#executors} only. */
+  /** Returns a builder. The fold is used on the fold executor of the builder only. */
   public static Builder builder(
       StreamName stream, SnapshotFold fold, LogClient client, RecordCodec codec) {
     return new Builder(stream, fold, client, codec);
   }
 
-  /** Begins to read at the next offset of the fold. */
+  /** Starts reading at the next offset of the fold. */
   public void start() {
     foldExecutor.execute(
         () -> {
@@ -88,9 +88,11 @@
   }
 
   /**
-   * Returns when the fold last held everything that the platform had; empty before the first time.
+   * Returns the last time at which the fold is known to have been up to date with the platform, or
+   * empty if it has not been so far.
    *
-   * <p>The time is that at which the read was sent, so it is never later than the truth.
+   * <p>The returned time is that of sending the read that confirmed this, so it may be earlier than
+   * the actual time but never later.
    */
   public Optional<Instant> knownAsOf() {
     return Optional.ofNullable(knownAsOf);
@@ -105,15 +107,15 @@
     if (closed) {
       return;
     }
-    Instant asked = clock.instant();
+    Instant requestedAt = clock.instant();
     read()
         .handleAsync(
             (page, failure) -> {
-              answered(asked, page, failure, failures);
+              handlePage(requestedAt, page, failure, failures);
               return null;
             },
             foldExecutor)
-        .exceptionally(this::stopped);
+        .exceptionally(this::logFailure);
   }
 
   private CompletionStage<LogPage> read() {
@@ -125,30 +127,31 @@
   }
 
   /**
-   * Returns where to read on.
+   * Returns the offset of the next read.
    *
    * <p>A fold that started from the records of a peer may lack a snapshot that the platform still
-   * has further back. It would show as an entry that never becomes complete although the platform
-   * is back. So such a fold reads from where its state ends, and restarts there.
+   * has at a lower offset. The fold would then stay incomplete even after the platform is available
+   * again. Such a fold therefore reads again from the offset where its state ends, and restarts
+   * there.
    */
   private long readFrom() {
     return startedFromPeer && !fold.complete() ? fold.stateOffset() : position;
   }
 
-  private void answered(
-      Instant asked, @Nullable LogPage page, @Nullable Throwable failure, int failures) {
+  private void handlePage(
+      Instant requestedAt, @Nullable LogPage page, @Nullable Throwable failure, int failures) {
     Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
     if (page != null) {
       applyPage(page);
       boolean isLast = page.records().size() < settings.pageRecords();
       if (fold.complete() && isLast) {
-        knownAsOf = asked;
+        knownAsOf = requestedAt;
       }
       pollIn(isLast ? settings.gather() : Duration.ZERO, 0);
     } else if (cause instanceof OffsetExpiredException expired) {
       restartAt(expired.firstOffset(), failures);
     } else {
-      askPeers(failures + 1);
+      readFromPeers(failures + 1);
     }
   }
 
@@ -164,12 +167,12 @@
     records.forEach(this::apply);
   }
 
-  /** Goes on after a gap: the log no longer retains what the fold lacks. */
+  /** Continues after a gap, when the log no longer retains the records that the fold lacks. */
   private void restartAt(long firstOffset, int failures) {
     if (firstOffset < fold.stateOffset()) {
       LOG.log(
           System.Logger.Level.ERROR,
-          "log-follower: {0} ends before offset {1}, which was read; reading again later",
+          "log-follower: {0} ends before offset {1}, which was already read; retrying later",
           stream,
           fold.stateOffset());
       pollLater(failures + 1);
@@ -177,7 +180,7 @@
     }
     LOG.log(
         System.Logger.Level.INFO,
-        "log-follower: {0} is retained from offset {1} only, waiting for a snapshot",
+        "log-follower: {0} is retained from offset {1} only; waiting for a snapshot",
         stream,
         firstOffset);
     startedFromPeer = false;
@@ -190,7 +193,7 @@
     position = firstOffset;
   }
 
-  private void askPeers(int failures) {
+  private void readFromPeers(int failures) {
     readMissed()
         .handleAsync(
             (page, failure) -> {
@@ -201,7 +204,7 @@
               return null;
             },
             foldExecutor)
-        .exceptionally(this::stopped);
+        .exceptionally(this::logFailure);
   }
 
   private CompletionStage<LogPage> readMissed() {
@@ -240,19 +243,19 @@
     } catch (CodecException e) {
       LOG.log(
           System.Logger.Level.ERROR,
-          "log-follower: passed over the unreadable record at offset {0} of {1}",
+          "log-follower: skipped the unreadable record at offset {0} of {1}",
           stored.offset(),
           stream);
     } catch (RuntimeException e) {
-      // A record that makes a fold throw would stop every instance that reads the stream. It shows
-      // as a fleet that no longer follows. All run the same fold, so all can pass over it.
+      // A record that makes the fold throw would stop every instance that follows the stream. All
+      // instances run the same fold, so all of them skip the record alike.
       LOG.log(
           System.Logger.Level.ERROR,
-          "log-follower: passed over offset "
+          "log-follower: skipped the record at offset "
               + stored.offset()
               + " of "
               + stream
-              + ", which failed",
+              + ", which the fold failed to apply",
           e);
     }
   }
@@ -272,7 +275,7 @@
     }
   }
 
-  private <T> @Nullable T stopped(Throwable failure) {
+  private <T> @Nullable T logFailure(Throwable failure) {
     Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
     if (!(cause instanceof RejectedExecutionException)) {
       LOG.log(System.Logger.Level.ERROR, "log-follower: stopped following " + stream, failure);
@@ -280,7 +283,7 @@
     return null;
   }
 
-  /** Collects the parts of a {@link StreamFollower}. */
+  /** Builds a {@link StreamFollower}. */
   public static final class Builder {
 
     private final StreamName stream;
@@ -303,50 +306,50 @@
       this.codec = codec;
     }
 
-    /** Sets the thread of the fold, which also calls the listener, and the timers; required. */
+    /** Sets the executor of the fold, which also calls the listener, and the timers. Required. */
     public Builder executors(Executor fold, ScheduledExecutorService timers) {
       this.foldExecutor = fold;
       this.timers = timers;
       return this;
     }
 
-    /** Sets the clock of {@link StreamFollower#knownAsOf}; the system's by default. */
+    /** Sets the clock of {@link StreamFollower#knownAsOf}; the system clock by default. */
     public Builder clock(InstantSource value) {
       this.clock = value;
       return this;
     }
 
-    /** Sets the source of jitter, used on the fold executor only. */
+    /** Sets the random source of the backoff jitter, used on the fold executor only. */
     public Builder random(RandomGenerator value) {
       this.random = value;
       return this;
     }
 
-    /** Sets how it reads; {@link FollowerSettings#DEFAULT} by default. */
+    /** Sets the settings; {@link FollowerSettings#DEFAULT} by default. */
     public Builder settings(FollowerSettings value) {
       this.settings = value;
       return this;
     }
 
-    /** Sets where to get records while the platform is away; nowhere by default. */
+    /** Sets the source of records while the platform is unavailable; none by default. */
     public Builder missed(MissedRecordSource value) {
       this.missed = value;
       return this;
     }
 
-    /** Sets where to keep what was read for peers; 10,000 records or 4 MiB by default. */
+    /** Sets where records are kept for peers; at most 10,000 records or 4 MiB by default. */
     public Builder recent(RecentRecords value) {
       this.recent = value;
       return this;
     }
 
-    /** Sets who hears of each record. */
+    /** Sets the listener that is notified of each applied record. */
     public Builder listener(RecordListener value) {
       this.listener = value;
       return this;
     }
 
-    /** Returns the follower, which has not started. */
+    /** Builds the follower; {@link StreamFollower#start()} starts it. */
     public StreamFollower build() {
       Checks.isTrue(foldExecutor != null && timers != null, "executors must be set");
       return new StreamFollower(this);
--- a/hawthornlb-net/src/main/java/io/hawthornlb/net/platform/support/StreamQueue.java
+++ b/hawthornlb-net/src/main/java/io/hawthornlb/net/platform/support/StreamQueue.java
@@ -10,10 +10,10 @@
 import java.util.Optional;
 
 /**
- * The records of one stream that are not yet known to stand in it, in the order of their coming.
+ * Queue of the records of one stream that are not yet confirmed to be in it, in order of arrival.
  *
- * <p>At most one group is in flight at a time, so that records never overtake each other, and a
- * group that fails stays at the head. Safe for use by several threads.
+ * <p>At most one group is in flight at a time, so that no record overtakes an earlier one. A group
+ * whose call fails stays at the head of the queue. Safe for use by several threads.
  */
 final class StreamQueue {
 
@@ -25,7 +25,11 @@
     this.capacity = capacity;
   }
 
-  /** Adds a record unless the queue is full; returns the waiting record of that id, if any. */
+  /**
+   * Adds a record unless one with the same id waits already.
+   *
+   * @return the waiting record with that id, or empty if the queue is full
+   */
   synchronized Optional<PendingRecord> offer(PendingRecord entry) {
     PendingRecord waiting = pending.get(entry.id());
     if (waiting != null) {
@@ -38,7 +42,11 @@
     return Optional.of(entry);
   }
 
-  /** Takes the call of this stream and returns its records; empty if it is taken or none waits. */
+  /**
+   * Returns the next group of records and marks it as in flight until {@link #release()}.
+   *
+   * <p>The group is empty if another group is in flight or no record waits.
+   */
   synchronized List<PendingRecord> nextGroup(int maxRecords, int maxBytes) {
     List<PendingRecord> group = new ArrayList<>();
     if (inFlight) {
@@ -56,17 +64,17 @@
     return group;
   }
 
-  /** Gives the call back; the next group may be taken. */
+  /** Marks the group in flight as finished, so that the next group can be taken. */
   synchronized void release() {
     inFlight = false;
   }
 
-  /** Removes a record and returns it if it was waiting. */
+  /** Removes a record and returns the removed record, or empty if it was not waiting. */
   synchronized Optional<PendingRecord> remove(RecordId id) {
     return Optional.ofNullable(pending.remove(id));
   }
 
-  /** Removes and returns the records that came before a time. */
+  /** Removes and returns the records that were accepted before a time. */
   synchronized List<PendingRecord> removeBefore(Instant time) {
     List<PendingRecord> removed = new ArrayList<>();
     Iterator<PendingRecord> entries = pending.values().iterator();
@@ -80,7 +88,7 @@
     return removed;
   }
 
-  /** Returns how many records wait. */
+  /** Returns the number of waiting records. */
   synchronized int size() {
     return pending.size();
   }
--- a/hawthornlb-net/src/main/java/io/hawthornlb/net/platform/support/package-info.java
+++ b/hawthornlb-net/src/main/java/io/hawthornlb/net/platform/support/package-info.java
@@ -1,4 +1,4 @@
-/** HTTP clients of the platform, the grouping writer and the follower of a stream. */
+/** HTTP clients of the platform, the grouping log writer and the stream follower. */
 @NullMarked
 package io.hawthornlb.net.platform.support;
 
--- a/hawthornlb-net/src/test/java/io/hawthornlb/net/platform/support/FakePlatform.java
+++ b/hawthornlb-net/src/test/java/io/hawthornlb/net/platform/support/FakePlatform.java
@@ -19,7 +19,7 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** A small platform with the faults that the clients must survive. */
+/** In-memory platform over HTTP that injects the faults which the clients must tolerate. */
 final class FakePlatform implements AutoCloseable {
 
   private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -30,10 +30,10 @@
   private final Map<String, List<String>> streams = new ConcurrentHashMap<>();
   private final Map<String, JsonNode> instances = new LinkedHashMap<>();
   private final Set<Integer> openPorts = ConcurrentHashMap.newKeySet();
-  private final Set<Integer> silentPorts = ConcurrentHashMap.newKeySet();
+  private final Set<Integer> unresponsivePorts = ConcurrentHashMap.newKeySet();
 
   final AtomicInteger appendCalls = new AtomicInteger();
-  final AtomicInteger answersToLose = new AtomicInteger();
+  final AtomicInteger responsesToLose = new AtomicInteger();
   final AtomicInteger callsOverRate = new AtomicInteger();
   volatile boolean down;
   volatile long firstRetained;
@@ -50,9 +50,9 @@
     return URI.create("http://127.0.0.1:" + server.getAddress().getPort());
   }
 
-  /** Connections open now get no further byte; new ones work. */
-  void silenceOpenConnections() {
-    silentPorts.addAll(openPorts);
+  /** Stops responding on all connections that are open now; new connections work. */
+  void stallOpenConnections() {
+    unresponsivePorts.addAll(openPorts);
   }
 
   int size(String stream) {
@@ -68,7 +68,7 @@
 
   private void handleLog(HttpExchange exchange) throws IOException {
     byte[] body = exchange.getRequestBody().readAllBytes();
-    if (isSilent(exchange) || refused(exchange)) {
+    if (isUnresponsive(exchange) || refused(exchange)) {
       return;
     }
     List<String> records = records(exchange.getRequestURI().getPath().split("/")[2]);
@@ -79,20 +79,20 @@
     }
   }
 
-  private boolean isSilent(HttpExchange exchange) {
+  private boolean isUnresponsive(HttpExchange exchange) {
     int port = exchange.getRemoteAddress().getPort();
     openPorts.add(port);
-    return silentPorts.contains(port);
+    return unresponsivePorts.contains(port);
   }
 
   private boolean refused(HttpExchange exchange) throws IOException {
     if (down) {
-      answer(exchange, 503, MAPPER.createObjectNode());
+      respond(exchange, 503, MAPPER.createObjectNode());
       return true;
     }
     if (callsOverRate.getAndUpdate(left -> Math.max(0, left - 1)) > 0) {
       exchange.getResponseHeaders().add("Retry-After", "1");
-      answer(exchange, 429, MAPPER.createObjectNode());
+      respond(exchange, 429, MAPPER.createObjectNode());
       return true;
     }
     return false;
@@ -101,17 +101,17 @@
   private void append(HttpExchange exchange, List<String> records, JsonNode body)
       throws IOException {
     appendCalls.incrementAndGet();
-    ObjectNode answer = MAPPER.createObjectNode();
+    ObjectNode response = MAPPER.createObjectNode();
     synchronized (records) {
-      answer.put("firstOffset", records.size());
+      response.put("firstOffset", records.size());
       body.path("records").forEach(item -> records.add(item.asText()));
       records.notifyAll();
     }
-    if (answersToLose.getAndUpdate(left -> Math.max(0, left - 1)) > 0) {
+    if (responsesToLose.getAndUpdate(left -> Math.max(0, left - 1)) > 0) {
       exchange.close();
       return;
     }
-    answer(exchange, 200, answer);
+    respond(exchange, 200, response);
   }
 
   private void read(HttpExchange exchange, List<String> records) throws IOException {
@@ -121,25 +121,25 @@
       query.put(parts[0], Long.parseLong(parts[1]));
     }
     long from = query.get("from");
-    ObjectNode answer = MAPPER.createObjectNode();
-    answer.put("firstOffset", firstRetained);
+    ObjectNode response = MAPPER.createObjectNode();
+    response.put("firstOffset", firstRetained);
     if (from < firstRetained) {
-      answer(exchange, 410, answer);
+      respond(exchange, 410, response);
       return;
     }
     synchronized (records) {
       awaitRecords(records, from, query.get("waitMillis"));
       long end = Math.min(records.size(), from + query.get("max"));
-      var array = answer.putArray("records");
+      var array = response.putArray("records");
       for (long offset = from; offset < end; offset++) {
         ObjectNode item = array.addObject();
         item.put("offset", offset);
         item.put("appendedAt", APPENDED_AT);
         item.put("data", records.get((int) offset));
       }
-      answer.put("nextOffset", Math.max(from, end));
+      response.put("nextOffset", Math.max(from, end));
     }
-    answer(exchange, 200, answer);
+    respond(exchange, 200, response);
   }
 
   private static void awaitRecords(List<String> records, long from, long waitMillis) {
@@ -154,7 +154,7 @@
 
   private synchronized void handleInstances(HttpExchange exchange) throws IOException {
     byte[] body = exchange.getRequestBody().readAllBytes();
-    if (isSilent(exchange) || refused(exchange)) {
+    if (isUnresponsive(exchange) || refused(exchange)) {
       return;
     }
     String id = exchange.getRequestURI().getPath().replaceFirst("/instances/?", "");
@@ -164,7 +164,7 @@
       default -> {
         ObjectNode list = MAPPER.createObjectNode().put("asOf", APPENDED_AT);
         list.putArray("instances").addAll(instances.values());
-        answer(exchange, 200, list);
+        respond(exchange, 200, list);
         return;
       }
     }
@@ -172,7 +172,7 @@
     exchange.close();
   }
 
-  private static void answer(HttpExchange exchange, int status, JsonNode body) throws IOException {
+  private static void respond(HttpExchange exchange, int status, JsonNode body) throws IOException {
     byte[] bytes = MAPPER.writeValueAsBytes(body);
     exchange.sendResponseHeaders(status, bytes.length);
     exchange.getResponseBody().write(bytes);
--- a/hawthornlb-net/src/test/java/io/hawthornlb/net/platform/support/GroupingLogWriterTest.java
+++ b/hawthornlb-net/src/test/java/io/hawthornlb/net/platform/support/GroupingLogWriterTest.java
@@ -40,8 +40,8 @@
       new WriterSettings(
           4, 10, 1_000, Duration.ofMillis(2), Duration.ofMillis(20), Duration.ofMinutes(10));
 
-  /** Answers each call when the test says so. */
-  private static final class HeldLog implements LogClient {
+  /** Log whose append calls complete only when the test completes them. */
+  private static final class ManualLog implements LogClient {
 
     final List<CompletableFuture<Long>> calls = new ArrayList<>();
     final List<Integer> groupSizes = new ArrayList<>();
@@ -68,7 +68,7 @@
     }
   }
 
-  private final HeldLog log = new HeldLog();
+  private final ManualLog log = new ManualLog();
   private final ScheduledExecutorService timers = Executors.newSingleThreadScheduledExecutor();
   private volatile Instant now = Instant.EPOCH;
   private final GroupingLogWriter writer =
@@ -86,7 +86,7 @@
   }
 
   @Test
-  void sendsAllThatWaitedInOneCall() throws Exception {
+  void sendsAllWaitingRecordsInOneCall() throws Exception {
     CompletionStage<Long> first = append(0);
     log.awaitCalls(1);
     CompletionStage<Long> second = append(1);
@@ -103,10 +103,10 @@
     assertEquals(2, writer.statistics().calls());
   }
 
-  // A job is accepted, its record is appended, and the answer of the platform is lost. Without a
-  // resend the caller waits for ever; with a resend under a new id the job would exist twice.
+  // Guards against a lost response to the append of an accepted job. Without a resend the caller
+  // waits forever; with a resend under a new id the job exists twice.
   @Test
-  void resendsTheSameRecordAfterALostAnswer() throws Exception {
+  void resendsSameRecordAfterLostResponse() throws Exception {
     CompletionStage<Long> first = append(0);
     log.awaitCalls(1);
 
@@ -118,10 +118,10 @@
     assertEquals(1, writer.statistics().failedCalls());
   }
 
-  // The answer is lost and the log is slow, but the follower reads the record from the stream. A
-  // writer that waits for an answer only would send it again and again.
+  // Guards against needless resends. The response is lost and the log is slow, but the follower
+  // reads the record from the stream. A writer that waits only for a response would keep resending.
   @Test
-  void stopsResendingARecordThatWasSeenInItsStream() throws Exception {
+  void stopsResendingRecordReadFromStream() throws Exception {
     CompletionStage<Long> first = append(0);
     log.awaitCalls(1);
     writer.seen(STREAM, id(0), 5);
@@ -133,10 +133,10 @@
     assertEquals(List.of(1, 1), log.groupSizes);
   }
 
-  // A later record that overtook a failed group would be folded before it: an outcome of a job
-  // before the job.
+  // Guards against reordering. If a later record overtook a failed group, it would be folded first,
+  // for example the outcome of a job before the job.
   @Test
-  void keepsTheOrderThroughAFailure() {
+  void keepsOrderAfterFailedCall() {
     append(0);
     log.awaitCalls(1);
     append(1);
@@ -147,7 +147,7 @@
   }
 
   @Test
-  void refusesAtOnceWhenTooManyRecordsWait() {
+  void rejectsRecordWhenQueueIsFull() {
     for (int i = 0; i < SETTINGS.streamRecords(); i++) {
       append(i);
     }
@@ -157,7 +157,7 @@
   }
 
   @Test
-  void saysOfAGivenUpRecordThatItMayStandInTheStream() {
+  void reportsThatAbandonedRecordMayBeInStream() {
     CompletionStage<Long> first = append(0);
     log.awaitCalls(1);
     now = now.plus(SETTINGS.giveUpAfter()).plusMillis(1);
@@ -168,7 +168,7 @@
   }
 
   @Test
-  void takesTheSameIdOnce() throws Exception {
+  void sendsSameIdOnce() throws Exception {
     CompletionStage<Long> first = append(0);
     CompletionStage<Long> again = append(0);
     log.awaitCalls(1);
@@ -180,7 +180,7 @@
   }
 
   @Test
-  void countsTheCallsOfTheLastWholeSecond() {
+  void countsCallsOfLastWholeSecond() {
     append(0);
     log.awaitCalls(1);
     now = now.plusSeconds(1);
--- a/hawthornlb-net/src/test/java/io/hawthornlb/net/platform/support/HttpPlatformClientsTest.java
+++ b/hawthornlb-net/src/test/java/io/hawthornlb/net/platform/support/HttpPlatformClientsTest.java
@@ -37,17 +37,17 @@
   private HttpPlatformLogClient log;
   private HttpInstanceListClient list;
 
-  /** Time of a call that only makes the JVM load what calls need. */
+  /** Timeout of the warm-up calls, in which the JVM loads the classes of the clients. */
   private static final Duration WARM_UP = Duration.ofSeconds(30);
 
-  // A JVM that starts on a busy machine takes over a second for its first call of a kind, longer
-  // than calls have here, while later ones take a tenth of that.
+  // On a busy machine the first call of each kind takes more than a second after the JVM starts,
+  // which is longer than the timeouts of this test. Later calls take a tenth of that.
   @BeforeAll
   static void warmUp() throws Exception {
-    PlatformTimeouts patient = new PlatformTimeouts(WARM_UP, WARM_UP, Duration.ZERO);
+    PlatformTimeouts warmUpTimeouts = new PlatformTimeouts(WARM_UP, WARM_UP, Duration.ZERO);
     try (FakePlatform warm = new FakePlatform();
-        HttpPlatformLogClient warmLog = new HttpPlatformLogClient(warm.uri(), patient);
-        HttpInstanceListClient warmList = new HttpInstanceListClient(warm.uri(), patient)) {
+        HttpPlatformLogClient warmLog = new HttpPlatformLogClient(warm.uri(), warmUpTimeouts);
+        HttpInstanceListClient warmList = new HttpInstanceListClient(warm.uri(), warmUpTimeouts)) {
       awaitWarm(warmLog.append(STREAM, List.of(new byte[] {1})));
       awaitWarm(warmLog.read(STREAM, 0, 10, Duration.ZERO));
       awaitWarm(
@@ -75,7 +75,7 @@
   }
 
   @Test
-  void readsWhatItAppended() throws Exception {
+  void readsAppendedRecords() throws Exception {
     assertEquals(0, await(log.append(STREAM, List.of(new byte[] {1}, new byte[] {2}))));
     assertEquals(2, await(log.append(STREAM, List.of(new byte[] {3}))));
 
@@ -87,7 +87,7 @@
   }
 
   @Test
-  void givesAnEmptyPageAfterTheWait() throws Exception {
+  void returnsEmptyPageAfterWait() throws Exception {
     LogPage page = await(log.read(STREAM, 0, 10, Duration.ofMillis(50)));
 
     assertEquals(List.of(), page.records());
@@ -95,7 +95,7 @@
   }
 
   @Test
-  void tellsFromWhereTheLogIsStillRetained() {
+  void reportsFirstRetainedOffset() {
     platform.firstRetained = 7;
 
     OffsetExpiredException expired =
@@ -106,7 +106,7 @@
   }
 
   @Test
-  void tellsWhenToComeBackAfterARefusal() {
+  void reportsRetryDelayOfRejectedCall() {
     platform.callsOverRate.set(1);
 
     LogUnavailableException refused =
@@ -117,7 +117,7 @@
   }
 
   @Test
-  void reportsAnOutageOfEveryKindAsUnavailable() {
+  void reportsEveryKindOfOutageAsUnavailable() {
     platform.down = true;
     assertInstanceOf(
         LogUnavailableException.class, failure(log.append(STREAM, List.of(new byte[] {1}))));
@@ -128,13 +128,14 @@
     assertInstanceOf(PlatformUnavailableException.class, failure(list.list()));
   }
 
-  // Something between an entry and the platform forgets a connection: bytes sent on it vanish while
-  // new connections work. A client that kept the connection would see an outage without end. The
-  // call must end by its timeout, and the next one must go over a new connection.
+  // Guards against an endless outage on a half-open connection. A device between an entry instance
+  // and the platform loses the state of a connection: bytes sent on the connection vanish, while
+  // new connections work. The call must end by its timeout, and the next call must use a new
+  // connection.
   @Test
-  void leavesAConnectionThatHasGoneSilent() throws Exception {
+  void abandonsUnresponsiveConnection() throws Exception {
     await(log.append(STREAM, List.of(new byte[] {1})));
-    platform.silenceOpenConnections();
+    platform.stallOpenConnections();
 
     assertInstanceOf(
         LogUnavailableException.class, failure(log.append(STREAM, List.of(new byte[] {2}))));
@@ -142,13 +143,13 @@
     assertEquals(1, await(log.append(STREAM, List.of(new byte[] {2}))));
   }
 
-  // The same, but the connection's own timeout does not come in time: a read that waits shortly
-  // uses
-  // connections on which reads may wait for long. What cuts the call must close the connection too.
+  // Guards against the same failure where the connection's own timeout is too long: a read with a
+  // short wait uses the pool of the reads with a long wait. Cancelling the call must also close the
+  // connection.
   @Test
-  void leavesAConnectionThatHasGoneSilentUnderAShortRead() throws Exception {
+  void abandonsUnresponsiveConnectionOnShortRead() throws Exception {
     await(log.read(STREAM, 0, 10, Duration.ZERO));
-    platform.silenceOpenConnections();
+    platform.stallOpenConnections();
 
     assertInstanceOf(
         LogUnavailableException.class, failure(log.read(STREAM, 0, 10, Duration.ZERO)));
@@ -157,7 +158,7 @@
   }
 
   @Test
-  void listsWhatWasAnnounced() throws Exception {
+  void listsAnnouncedProcesses() throws Exception {
     ListedProcess entry = process("n-1", ListedKind.ENTRY, Optional.empty(), ListedState.LIVE);
     ListedProcess endpoint =
         process(
--- a/hawthornlb-net/src/test/java/io/hawthornlb/net/platform/support/LostAnswerTest.java
+++ b/hawthornlb-net/src/test/java/io/hawthornlb/net/platform/support/LostAnswerTest.java
@@ -49,12 +49,12 @@
     platform.close();
   }
 
-  // Reports are accepted while the platform takes each append but loses answers, refuses calls over
-  // its rate and goes down for a moment. Each record must be folded exactly once and in order,
-  // although some stand in the stream twice: here the follower does not tell the writer what it
-  // saw.
+  // Guards against lost, duplicated or reordered records. The platform applies appends but loses
+  // some responses, rejects calls over its rate limit and is down for a moment. Each record must be
+  // folded exactly once and in order, although the stream contains some twice, since the follower
+  // in this test does not notify the writer of the records that it reads.
   @Test
-  void recordsAreFoldedOnceThroughLostAnswersAndRefusals() throws Exception {
+  void recordsAreFoldedOnceDespiteLostResponsesAndRejections() throws Exception {
     NoteFold fold = new NoteFold();
     List<CompletableFuture<Long>> appended = new ArrayList<>();
     try (StreamFollower follower =
@@ -63,7 +63,7 @@
             .build()) {
       follower.start();
       for (int number = 0; number < NOTES; number++) {
-        disturb(number);
+        injectFault(number);
         AppendRecord effect = new AppendRecord(STREAM, ids.next(), new NoteFold.Note(number));
         appended.add(writer.append(effect).toCompletableFuture());
         Awaitility.await().pollDelay(Duration.ofMillis(2)).until(() -> true);
@@ -73,13 +73,13 @@
       List<Integer> expected = IntStream.range(0, NOTES).boxed().toList();
       Awaitility.await().until(() -> fold.numbers().equals(expected));
     }
-    assertTrue(platform.size(STREAM.value()) > NOTES, "no record stands twice");
+    assertTrue(platform.size(STREAM.value()) > NOTES, "the stream contains no record twice");
     assertEquals(0, writer.statistics().pending());
   }
 
-  private void disturb(int number) {
+  private void injectFault(int number) {
     if (number == 0 || number == 20) {
-      platform.answersToLose.set(2);
+      platform.responsesToLose.set(2);
     }
     if (number == 10) {
       platform.callsOverRate.set(1);
--- a/hawthornlb-net/src/test/java/io/hawthornlb/net/platform/support/NoteFold.java
+++ b/hawthornlb-net/src/test/java/io/hawthornlb/net/platform/support/NoteFold.java
@@ -9,7 +9,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Keeps the numbers of all notes in order. */
+/** Fold that collects the numbers of all notes in stream order. */
 final class NoteFold extends AbstractStreamFold<NoteFold.NoteSnapshot> {
 
   record Note(int number) implements RecordBody {}
@@ -44,7 +44,7 @@
   protected void applyFirst(LogRecord entry) {
     int number = ((Note) entry.body()).number();
     if (number < 0) {
-      throw new IllegalStateException("a fault in the fold");
+      throw new IllegalStateException("simulated failure of the fold");
     }
     List<Integer> more = new ArrayList<>(numbers);
     more.add(number);
--- a/hawthornlb-net/src/test/java/io/hawthornlb/net/platform/support/RecordCodecTest.java
+++ b/hawthornlb-net/src/test/java/io/hawthornlb/net/platform/support/RecordCodecTest.java
@@ -33,7 +33,7 @@
       codec.encode(new AppendRecord(new StreamName("s"), ID, new Note("text", -5)));
 
   @Test
-  void decodesWhatItEncoded() {
+  void decodesEncodedRecord() {
     assertEquals(
         new LogRecord(9, Instant.EPOCH, ID, new Note("text", -5)), codec.decode(stored(data)));
   }
@@ -50,16 +50,17 @@
   }
 
   @Test
-  void keepsTheIdOfARecordOfANewerVersion() {
+  void keepsIdOfRecordOfNewerVersion() {
     assertEquals(
         new LogRecord(9, Instant.EPOCH, ID, new UnknownRecord("note")),
         codec("other").decode(stored(data)));
   }
 
-  // A newer version writes a constant that this version does not have. Passed over as unreadable,
-  // the record would be forgotten by the next snapshot.
+  // Guards against losing a record of a newer version, for example one with an enum constant that
+  // this version does not have. If the record were skipped as unreadable, the next snapshot of this
+  // version would not contain its effect.
   @Test
-  void takesABodyThatItCannotReadForOneOfANewerVersion() {
+  void decodesUnreadableBodyAsUnknownRecord() {
     RecordCodec newer =
         new RecordCodec(
             TypeRegistry.<RecordBody>builder().register("note", NewerNote.class).build());
@@ -70,7 +71,7 @@
   }
 
   @Test
-  void refusesBytesThatAreNoRecord() {
+  void rejectsInvalidBytes() {
     assertThrows(CodecException.class, () -> codec.decode(stored(new byte[] {1, 2})));
     assertThrows(CodecException.class, () -> codec.decode(stored(new byte[0])));
   }
--- a/hawthornlb-net/src/test/java/io/hawthornlb/net/platform/support/RecordSizeBench.java
+++ b/hawthornlb-net/src/test/java/io/hawthornlb/net/platform/support/RecordSizeBench.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 
-/** Bytes and processor time of the records on the wire. */
+/** Measures the encoded size of each record type and its encoding and decoding time. */
 @Tag("bench")
 class RecordSizeBench {
 
--- a/hawthornlb-net/src/test/java/io/hawthornlb/net/platform/support/SharedRecordTypesTest.java
+++ b/hawthornlb-net/src/test/java/io/hawthornlb/net/platform/support/SharedRecordTypesTest.java
@@ -84,7 +84,7 @@
 
   @ParameterizedTest
   @MethodSource("records")
-  void surviveTheLog(RecordBody body) {
+  void recordsSurviveEncoding(RecordBody body) {
     RecordId id = new RecordId(INSTANCE, 1);
     byte[] data = codec.encode(new AppendRecord(StreamName.CLAIMS, id, body));
 
--- a/hawthornlb-net/src/test/java/io/hawthornlb/net/platform/support/StreamFollowerTest.java
+++ b/hawthornlb-net/src/test/java/io/hawthornlb/net/platform/support/StreamFollowerTest.java
@@ -69,7 +69,7 @@
   }
 
   @Test
-  void followsManyPagesAndWhatIsAppendedLater() throws Exception {
+  void followsSeveralPagesAndLaterAppends() throws Exception {
     appendNotes(0, 10);
     follower.start();
     awaitNumbers(fold, range(0, 10));
@@ -77,17 +77,17 @@
     appendNotes(10, 12);
 
     awaitNumbers(fold, range(0, 12));
-    awaitKnown(follower);
+    awaitUpToDate(follower);
   }
 
-  // The platform is away for a while and comes back. An entry that stopped reading would go on with
-  // an old catalogue without telling anyone.
+  // Guards against a follower that stops reading after an outage of the platform. Its entry
+  // instance would continue with an old catalogue without reporting it.
   @Test
-  void goesOnAfterAnOutageAndTellsHowOldItsKnowledgeIs() throws Exception {
+  void resumesAfterOutageAndReportsStaleness() throws Exception {
     appendNotes(0, 2);
     follower.start();
     awaitNumbers(fold, range(0, 2));
-    awaitKnown(follower);
+    awaitUpToDate(follower);
     platform.down = true;
     Awaitility.await().until(() -> isStale(follower));
 
@@ -97,11 +97,12 @@
     awaitNumbers(fold, range(0, 4));
   }
 
-  // During an outage the log of every entry was full of "stopped following" although all went on,
-  // and an operator restarted the fleet while the platform was away: a handled failure was handed
-  // on to the stage that reports the unhandled ones.
+  // Guards against misleading logs in an outage. A handled read failure used to be passed on to the
+  // stage that reports unhandled ones. Every entry instance then logged "stopped following"
+  // although all still followed, and an operator restarted the fleet while the platform was
+  // unavailable.
   @Test
-  void outagesAreNotLoggedAsAnEnd() throws Exception {
+  void outageIsNotLoggedAsStop() throws Exception {
     List<String> messages = new CopyOnWriteArrayList<>();
     Logger logger = Logger.getLogger(StreamFollower.class.getName());
     Handler handler = new MessageCollector(messages);
@@ -110,7 +111,7 @@
       appendNotes(0, 2);
       follower.start();
       awaitNumbers(fold, range(0, 2));
-      awaitKnown(follower);
+      awaitUpToDate(follower);
       platform.down = true;
       Awaitility.await().until(() -> isStale(follower));
       platform.down = false;
@@ -124,11 +125,11 @@
   }
 
   @Test
-  void leavesAConnectionThatHasGoneSilent() throws Exception {
+  void abandonsUnresponsiveConnection() throws Exception {
     appendNotes(0, 2);
     follower.start();
     awaitNumbers(fold, range(0, 2));
-    platform.silenceOpenConnections();
+    platform.stallOpenConnections();
     try (HttpPlatformLogClient other = new HttpPlatformLogClient(platform.uri(), TIMEOUTS)) {
       append(other, new NoteFold.Note(2));
     }
@@ -136,10 +137,11 @@
     awaitNumbers(fold, range(0, 3));
   }
 
-  // An entry boots after the first records have expired. It must not take what is left for the
-  // whole, but start from the snapshot and apply what follows the offset that it folds.
+  // Guards against an incomplete state when an entry instance boots after the first records have
+  // expired. The instance must not treat the retained records as the whole stream. It must start
+  // from the snapshot and apply the records after the last offset that the snapshot covers.
   @Test
-  void startsFromTheSnapshotWhenTheFirstRecordsHaveExpired() throws Exception {
+  void startsFromSnapshotWhenFirstRecordsHaveExpired() throws Exception {
     appendNotes(0, 5);
     append(client, new NoteFold.NoteSnapshot(1, 4, 0, 1, List.of(), range(0, 4)));
     appendNotes(5, 7);
@@ -148,11 +150,11 @@
     follower.start();
 
     awaitNumbers(fold, range(0, 7));
-    awaitKnown(follower);
+    awaitUpToDate(follower);
   }
 
   @Test
-  void showsNothingWhileRecordsAreMissing() throws Exception {
+  void hidesStateWhileRecordsAreMissing() throws Exception {
     appendNotes(0, 5);
     platform.firstRetained = 3;
     follower.start();
@@ -162,26 +164,27 @@
     assertTrue(follower.knownAsOf().isEmpty());
   }
 
-  // While the platform is away one data centre has read records that another has not. The second
-  // gets them from a peer, so that both decide alike.
+  // Guards against data centres that decide differently. While the platform is unavailable, one
+  // data centre has read records that another has not. The second gets these records from a peer.
   @Test
-  void fillsItsGapFromAPeerWhileThePlatformIsAway() throws Exception {
+  void readsMissingRecordsFromPeerWhilePlatformIsDown() throws Exception {
     appendNotes(0, 8);
-    RecentRecords peerHas = readByPeer(8);
+    RecentRecords peerRecords = readByPeer(8);
     NoteFold behind = new NoteFold();
     platform.down = true;
 
-    try (StreamFollower second = follower(behind, recent, source(peerHas))) {
+    try (StreamFollower second = follower(behind, recent, source(peerRecords))) {
       second.start();
       awaitNumbers(behind, range(0, 8));
       assertFalse(second.knownAsOf().isPresent());
     }
   }
 
-  // A peer has only the end of the stream and no snapshot. An entry that boots from it while the
-  // platform is away would stay incomplete for ever, although the platform has everything.
+  // Guards against a state that stays incomplete. A peer has only the end of the stream and no
+  // snapshot. An entry instance that boots from this peer while the platform is unavailable must
+  // read the earlier records once the platform is available again.
   @Test
-  void readsTheBeginningOnceThePlatformIsBackIfThePeerHadOnlyTheEnd() throws Exception {
+  void readsEarlierRecordsOncePlatformRecovers() throws Exception {
     appendNotes(0, 8);
     RecentRecords end = new RecentRecords(2, 1 << 20);
     readByPeer(8).from(0, 100).records().forEach(end::add);
@@ -195,13 +198,14 @@
       assertEquals(List.of(), booting.numbers());
       platform.down = false;
       awaitNumbers(booting, range(0, 8));
-      awaitKnown(second);
+      awaitUpToDate(second);
     }
   }
 
-  // One record that no version can read, or that a fold fails on, would stop every instance.
+  // Guards against a single record that stops every instance, because no version can read it or
+  // because the fold fails to apply it.
   @Test
-  void passesOverRecordsThatItCannotApply() throws Exception {
+  void skipsRecordsThatCannotBeApplied() throws Exception {
     appendNotes(0, 1);
     client.append(STREAM, List.of(new byte[] {1, 2, 3})).toCompletableFuture().get();
     append(client, new NoteFold.Note(-1));
@@ -254,7 +258,7 @@
         .isBefore(InstantSource.system().instant().minusMillis(400));
   }
 
-  private static void awaitKnown(StreamFollower follower) {
+  private static void awaitUpToDate(StreamFollower follower) {
     Awaitility.await().until(() -> follower.knownAsOf().isPresent());
   }
 
--- a/hawthornlb-net/src/test/java/io/hawthornlb/net/platform/support/StreamQueueLincheckTest.java
+++ b/hawthornlb-net/src/test/java/io/hawthornlb/net/platform/support/StreamQueueLincheckTest.java
@@ -12,7 +12,7 @@
 import org.jetbrains.kotlinx.lincheck.strategy.stress.StressOptions;
 import org.junit.jupiter.api.Test;
 
-/** Callers offer records while the answers of calls and the follower remove them. */
+/** Callers offer records while append responses and the stream follower remove them. */
 @Param(name = "id", gen = IntGen.class, conf = "0:3")
 public class StreamQueueLincheckTest {
 
