--- a/hawthornlb-net/src/main/java/io/hawthornlb/net/peer/PeerClient.java
+++ b/hawthornlb-net/src/main/java/io/hawthornlb/net/peer/PeerClient.java
@@ -4,18 +4,18 @@
 import io.hawthornlb.core.peer.PeerTransport;
 import java.util.List;
 
-/** Opens connections to peers and keeps them; stages complete on a thread of the client. */
+/** Opens and maintains connections to peers. Stages complete on a thread of the client. */
 public interface PeerClient extends PeerTransport, AutoCloseable {
 
   /**
-   * Replaces the known peers; connections to peers that are no longer listed are closed.
+   * Replaces the known peers, and closes the connections to peers that are no longer listed.
    *
-   * <p>Endpoints and the own instance are passed over. Until the first call only the peers that the
-   * client was made with are known.
+   * <p>Endpoints and this instance itself are ignored. Until the first call, the client knows only
+   * the peers with which it was created.
    */
   void updatePeers(List<ListedProcess> listed);
 
-  /** Closes all connections; requests in progress fail. */
+  /** Closes all connections. Requests in progress fail. */
   @Override
   void close();
 }
--- a/hawthornlb-net/src/main/java/io/hawthornlb/net/peer/PeerHandlerRegistry.java
+++ b/hawthornlb-net/src/main/java/io/hawthornlb/net/peer/PeerHandlerRegistry.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import java.util.concurrent.CompletionStage;
 
-/** Holds the handler of each type of message. */
+/** Maps each message type to its handler. */
 public final class PeerHandlerRegistry {
 
   private final Map<Class<?>, PeerHandler<PeerMessage>> handlers;
@@ -18,22 +18,26 @@
     this.handlers = Map.copyOf(handlers);
   }
 
-  /** Starts an empty registry. */
+  /** Returns a builder without any handlers. */
   public static Builder builder() {
     return new Builder();
   }
 
-  /** Returns the handler of a type of message. */
+  /** Returns the handler of a message type, or empty if none is registered. */
   public Optional<PeerHandler<PeerMessage>> handler(Class<? extends PeerMessage> type) {
     return Optional.ofNullable(handlers.get(type));
   }
 
-  /** Collects the handlers of a registry. */
+  /** Builds a {@link PeerHandlerRegistry}. */
   public static final class Builder {
 
     private final Map<Class<?>, PeerHandler<PeerMessage>> handlers = new HashMap<>();
 
-    /** Adds the handler of a type of message; a type has one handler only. */
+    /**
+     * Registers the handler of a message type.
+     *
+     * @throws IllegalArgumentException if the type already has a handler
+     */
     public <M extends PeerMessage> Builder register(Class<M> type, PeerHandler<M> handler) {
       PeerHandler<PeerMessage> untyped =
           new PeerHandler<>() {
@@ -43,11 +47,11 @@
             }
           };
       Checks.isTrue(
-          handlers.put(type, untyped) == null, type.getSimpleName() + " has a handler already");
+          handlers.put(type, untyped) == null, type.getSimpleName() + " already has a handler");
       return this;
     }
 
-    /** Returns the registry. */
+    /** Builds a registry of the handlers registered so far. */
     public PeerHandlerRegistry build() {
       return new PeerHandlerRegistry(handlers);
     }
--- a/hawthornlb-net/src/main/java/io/hawthornlb/net/peer/PeerNode.java
+++ b/hawthornlb-net/src/main/java/io/hawthornlb/net/peer/PeerNode.java
@@ -7,13 +7,13 @@
 import io.netty.channel.EventLoopGroup;
 
 /**
- * What client and server of one instance share.
+ * Context shared by the peer client and the peer server of one instance.
  *
- * @param self the own instance
+ * @param self the id of this instance
  * @param codec encodes the messages
  * @param security secures the connections
- * @param options times and bounds
- * @param eventLoops threads for the connections; the caller stops them
+ * @param options the timeouts and limits of the connections
+ * @param eventLoops the threads of the connections; the caller shuts them down
  */
 public record PeerNode(
     InstanceId self,
--- a/hawthornlb-net/src/main/java/io/hawthornlb/net/peer/PeerOptions.java
+++ b/hawthornlb-net/src/main/java/io/hawthornlb/net/peer/PeerOptions.java
@@ -4,17 +4,17 @@
 import java.time.Duration;
 
 /**
- * Times and bounds of connections between peers.
+ * Timeouts and limits of connections between peers.
  *
- * @param probe how long nothing may arrive before a connection is probed
- * @param silence how long nothing may arrive before a connection is given up
- * @param connectTimeout how long to wait for a new connection
- * @param minBackoff the shortest time between two tries to connect
- * @param maxBackoff the longest time between two tries to connect
- * @param idleTimeout how long a connection that need not be kept may go unused
+ * @param probe the time without received bytes after which a probe is sent
+ * @param silence the time without received bytes after which a connection is closed
+ * @param connectTimeout the time allowed to open a connection
+ * @param minBackoff the shortest time between two connection attempts
+ * @param maxBackoff the longest time between two connection attempts
+ * @param idleTimeout the time after which an unused connection is closed, unless it is kept open
  * @param frameLimit the largest frame in bytes
- * @param writeLimit how many bytes may wait to be written before messages are refused
- * @param pendingLimit how many requests may wait for the answers of one peer
+ * @param writeLimit the most bytes in the write buffer before messages are rejected
+ * @param pendingLimit the most requests to one peer that wait for a response
  */
 public record PeerOptions(
     Duration probe,
@@ -27,7 +27,7 @@
     int writeLimit,
     int pendingLimit) {
 
-  /** Options for instances within a region. */
+  /** Default options, for instances within a region. */
   public static final PeerOptions DEFAULT =
       new PeerOptions(
           Duration.ofMillis(500),
@@ -40,16 +40,19 @@
           8 << 20,
           10_000);
 
-  /** Checks that the times are in order and the bounds positive. */
+  /** Checks that the timeouts are in order and the limits are positive. */
   public PeerOptions {
-    Checks.isTrue(probe.toMillis() > 0, "probe must be at least a millisecond");
-    Checks.isTrue(silence.compareTo(probe.multipliedBy(2)) >= 0, "silence must be two probes");
-    Checks.isTrue(maxBackoff.compareTo(minBackoff) >= 0, "max backoff must not be below min");
+    Checks.isTrue(probe.toMillis() > 0, "probe must be at least 1 ms");
+    Checks.isTrue(
+        silence.compareTo(probe.multipliedBy(2)) >= 0,
+        "silence must be at least twice the probe time");
+    Checks.isTrue(
+        maxBackoff.compareTo(minBackoff) >= 0, "max backoff must not be shorter than min backoff");
     Checks.isTrue(frameLimit > 0 && writeLimit > 0, "limits must be positive");
     Checks.isTrue(pendingLimit > 0, "pending limit must be positive");
   }
 
-  /** Returns these options with other times for probes. */
+  /** Returns these options with another probe time and another allowed silence. */
   public PeerOptions withProbes(Duration newProbe, Duration newSilence) {
     return new PeerOptions(
         newProbe,
@@ -63,7 +66,7 @@
         pendingLimit);
   }
 
-  /** Returns these options with another time that an unused connection stays. */
+  /** Returns these options with another idle timeout. */
   public PeerOptions withIdleTimeout(Duration newIdleTimeout) {
     return new PeerOptions(
         probe,
@@ -77,7 +80,7 @@
         pendingLimit);
   }
 
-  /** Returns these options with another limit of frames. */
+  /** Returns these options with another frame limit, and a write limit at least as large. */
   public PeerOptions withFrameLimit(int newFrameLimit) {
     return new PeerOptions(
         probe,
--- a/hawthornlb-net/src/main/java/io/hawthornlb/net/peer/PeerSelector.java
+++ b/hawthornlb-net/src/main/java/io/hawthornlb/net/peer/PeerSelector.java
@@ -5,10 +5,10 @@
 import java.util.List;
 import java.util.Set;
 
-/** Chooses the peers that are connected before there is a message for them. */
+/** Selects the peers to which a connection is kept open even without messages for them. */
 @FunctionalInterface
 public interface PeerSelector {
 
-  /** Returns the chosen ones of the listed entries, which do not hold the own instance. */
+  /** Returns the selected ones of the listed entry instances, which exclude this instance. */
   Set<InstanceId> select(List<ListedProcess> entries);
 }
--- a/hawthornlb-net/src/main/java/io/hawthornlb/net/peer/package-info.java
+++ b/hawthornlb-net/src/main/java/io/hawthornlb/net/peer/package-info.java
@@ -1,4 +1,4 @@
-/** Messages between entry instances over TCP. */
+/** Exchange of messages between entry instances over TCP. */
 @NullMarked
 package io.hawthornlb.net.peer;
 
--- a/hawthornlb-net/src/main/java/io/hawthornlb/net/peer/support/Backoff.java
+++ b/hawthornlb-net/src/main/java/io/hawthornlb/net/peer/support/Backoff.java
@@ -4,9 +4,10 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Times between tries to connect, doubled after each failure and jittered.
+ * Exponential backoff with jitter between attempts to connect.
  *
- * <p>Without jitter all peers of an instance that comes back would connect at the same moment.
+ * <p>Without jitter, all peers of an instance that becomes available again would connect to it at
+ * the same moment.
  */
 final class Backoff {
 
@@ -23,7 +24,10 @@
     this.random = random;
   }
 
-  /** Returns the time to wait after one more failure: half to the whole of the doubled time. */
+  /**
+   * Returns the delay after another failure, a random time between half of the doubled delay and
+   * all of it.
+   */
   Duration next() {
     long doubled = min.toMillis() << Math.min(failures, MAX_DOUBLINGS);
     failures++;
@@ -31,7 +35,7 @@
     return Duration.ofMillis(Math.max(1, whole / 2 + random.nextLong(whole / 2 + 1)));
   }
 
-  /** Starts again from the shortest time. */
+  /** Resets the delay to the shortest one. */
   void reset() {
     failures = 0;
   }
--- a/hawthornlb-net/src/main/java/io/hawthornlb/net/peer/support/FrameKind.java
+++ b/hawthornlb-net/src/main/java/io/hawthornlb/net/peer/support/FrameKind.java
@@ -2,22 +2,22 @@
 
 import io.hawthornlb.core.config.EnumNames;
 
-/** What a frame is for. */
+/** The purpose of a frame. */
 enum FrameKind {
-  /** The first frame in each direction; its content names the sender. */
+  /** The first frame in each direction. Its content identifies the sender. */
   HELLO,
-  /** A message that wants an answer. */
+  /** A message that expects a response. */
   REQUEST,
-  /** The answer to a request. */
+  /** The response to a request. */
   ANSWER,
-  /** Says that a request has no answer; its content is the cause as text. */
+  /** Reports that a request failed. Its content is the cause as text. */
   FAILURE,
-  /** A message without an answer. */
+  /** A message that expects no response. */
   SEND,
-  /** Asks for a probe back, so that a silent connection is found. */
+  /** A heartbeat that the receiver sends back, to detect an unresponsive connection. */
   PROBE;
 
-  /** Returns the name on the wire. */
+  /** Returns the name used on the wire. */
   String wireName() {
     return EnumNames.name(this);
   }
--- a/hawthornlb-net/src/main/java/io/hawthornlb/net/peer/support/LinkAction.java
+++ b/hawthornlb-net/src/main/java/io/hawthornlb/net/peer/support/LinkAction.java
@@ -1,21 +1,25 @@
 package io.hawthornlb.net.peer.support;
 
-/** What code does on transitions of the connection to a peer; see {@code connection.yaml}. */
+/**
+ * Actions that run on the transitions of a connection to a peer.
+ *
+ * <p>The state chart is {@code connection.yaml}.
+ */
 enum LinkAction {
   /** Opens a new connection. */
   OPEN,
   /** Sends the hello. */
-  GREET,
-  /** Tells that the peer can be reached and starts backoff afresh. */
-  ANNOUNCE,
-  /** Writes the frames that waited for the connection. */
+  SEND_HELLO,
+  /** Marks the peer as reachable and resets the backoff. */
+  MARK_REACHABLE,
+  /** Writes the frames that were queued until the connection was ready. */
   FLUSH,
-  /** Tells that the peer cannot be reached and fails all requests in progress. */
+  /** Marks the peer as unreachable and fails all requests in progress. */
   FAIL_REQUESTS,
-  /** Starts the time to the next try. */
-  BACK_OFF,
-  /** Looks again and again whether somebody still uses the connection. */
-  WATCH_USE,
+  /** Schedules the next connection attempt after the backoff. */
+  SCHEDULE_RECONNECT,
+  /** Checks after each idle timeout whether the connection is still in use. */
+  START_IDLE_CHECK,
   /** Closes the connection. */
   DISCONNECT
 }
--- a/hawthornlb-net/src/main/java/io/hawthornlb/net/peer/support/LinkConnector.java
+++ b/hawthornlb-net/src/main/java/io/hawthornlb/net/peer/support/LinkConnector.java
@@ -23,7 +23,11 @@
     this.node = node;
   }
 
-  /** Starts to connect; the listener hears of success and failure later, never within the call. */
+  /**
+   * Starts to open a channel.
+   *
+   * <p>The listener is notified of success or failure later, never during this call.
+   */
   Channel connect(InetSocketAddress address, EventLoop eventLoop, LinkListener listener) {
     PeerOptions options = node.options();
     int connectMillis = (int) options.connectTimeout().toMillis();
--- a/hawthornlb-net/src/main/java/io/hawthornlb/net/peer/support/LinkEvent.java
+++ b/hawthornlb-net/src/main/java/io/hawthornlb/net/peer/support/LinkEvent.java
@@ -1,19 +1,23 @@
 package io.hawthornlb.net.peer.support;
 
-/** Events of the connection to a peer; see {@code connection.yaml}. */
+/**
+ * Events of a connection to a peer.
+ *
+ * <p>The state chart is {@code connection.yaml}.
+ */
 enum LinkEvent {
-  /** Somebody wants to use the connection. */
+  /** A caller sends a message, or the connection is to be kept open. */
   USE,
   /** The connection is open and, with TLS, the handshake is done. */
   CONNECTED,
-  /** The peer named itself and is the expected one. */
-  GREETED,
-  /** The connection failed, ended or went silent. */
+  /** The hello of the peer arrived, and the peer is the expected instance. */
+  HELLO_RECEIVED,
+  /** The connection failed, was closed or became unresponsive. */
   LOST,
-  /** Nobody used the connection for long, and it need not be kept. */
+  /** The connection was unused for the idle timeout and is not to be kept open. */
   UNUSED,
-  /** The time between two tries is over. */
+  /** The backoff before the next connection attempt has passed. */
   DUE,
-  /** The peer is no longer wanted. */
+  /** The peer is no longer listed, or this instance is shutting down. */
   REMOVED
 }
--- a/hawthornlb-net/src/main/java/io/hawthornlb/net/peer/support/LinkHandler.java
+++ b/hawthornlb-net/src/main/java/io/hawthornlb/net/peer/support/LinkHandler.java
@@ -8,18 +8,24 @@
 import java.time.Duration;
 
 /**
- * Reports the events of one channel to its link and finds out when the channel is silent.
+ * Reports the events of one channel to its link, and detects an unresponsive channel by heartbeats.
  *
- * <p>A connection that something between both ends lost track of neither fails nor delivers: writes
- * succeed into buffers and requests wait for ever, while new connections work. So whenever nothing
- * has arrived for a while the handler sends a probe, which the peer sends back; when several in a
- * row bring nothing, the channel is closed. A live peer always answers, so a working connection is
- * closed only if the peer is paused for longer than the allowed silence.
+ * <p>A network device between both ends can lose the state of a connection. The connection then
+ * neither fails nor delivers: writes succeed into buffers and requests wait forever, while new
+ * connections work. If no byte arrives for the probe time, the handler therefore sends a probe,
+ * which the peer sends back. If several probes in a row bring no byte, the handler closes the
+ * channel. A live peer always sends probes back, so a working connection is closed only if the peer
+ * is paused for longer than the allowed silence.
  */
 final class LinkHandler extends SimpleChannelInboundHandler<PeerFrame> {
 
-  /** A handshake may take longer than an answer: the first ones run before code is compiled. */
-  private static final int SILENCES_FOR_HANDSHAKE = 3;
+  /**
+   * Factor by which the allowed silence is longer during the TLS handshake.
+   *
+   * <p>A handshake may take longer than a response, since the first handshakes run before the JVM
+   * has compiled their code.
+   */
+  private static final int HANDSHAKE_SILENCE_FACTOR = 3;
 
   private final PeerOptions options;
   private final boolean encrypted;
@@ -48,13 +54,13 @@
   @Override
   public void userEventTriggered(ChannelHandlerContext context, Object event) {
     if (event instanceof SslHandshakeCompletionEvent handshake) {
-      handshakeEnded(context, handshake);
+      onHandshakeCompleted(context, handshake);
     } else if (event instanceof IdleStateEvent idle) {
       idle(context, idle);
     }
   }
 
-  private void handshakeEnded(
+  private void onHandshakeCompleted(
       ChannelHandlerContext context, SslHandshakeCompletionEvent handshake) {
     if (handshake.isSuccess()) {
       connected(context);
@@ -69,11 +75,11 @@
   }
 
   /**
-   * Gives a silent connection up, or probes it.
+   * Closes the channel if it was silent for too long, or else sends a probe.
    *
-   * <p>A probe that is written during a handshake waits for its end and then goes out before the
-   * hello, at which the peer closes the connection; with every handshake that is slower than the
-   * time to a probe the peer would stay out of reach. So there is no probe before the hello.
+   * <p>No probe is sent before the hello. A probe written during the TLS handshake would be sent
+   * after the handshake but before the hello, and the peer would close the connection. The peer
+   * would stay unreachable as long as handshakes take longer than the probe time.
    */
   private void idle(ChannelHandlerContext context, IdleStateEvent event) {
     idlePeriods = event.isFirst() ? 1 : idlePeriods + 1;
@@ -86,12 +92,14 @@
   }
 
   private Duration allowedSilence() {
-    return handshaken ? options.silence() : options.silence().multipliedBy(SILENCES_FOR_HANDSHAKE);
+    return handshaken
+        ? options.silence()
+        : options.silence().multipliedBy(HANDSHAKE_SILENCE_FACTOR);
   }
 
   @Override
   public void channelInactive(ChannelHandlerContext context) {
-    listener.lost(context.channel(), "the connection ended");
+    listener.lost(context.channel(), "the connection was closed");
   }
 
   @Override
--- a/hawthornlb-net/src/main/java/io/hawthornlb/net/peer/support/LinkListener.java
+++ b/hawthornlb-net/src/main/java/io/hawthornlb/net/peer/support/LinkListener.java
@@ -3,15 +3,15 @@
 import io.netty.channel.Channel;
 import org.jspecify.annotations.Nullable;
 
-/** Hears what happens on the channels of a link, on its event loop. */
+/** Is notified of the events of a link's channels, on the event loop of the link. */
 interface LinkListener {
 
-  /** The channel is open and, with TLS, the handshake is done. */
+  /** Called when the channel is open and, with TLS, the handshake is done. */
   void connected(Channel from);
 
-  /** A frame arrived. */
+  /** Called when a frame has arrived. */
   void received(Channel from, PeerFrame frame);
 
-  /** The channel failed, ended or went silent. */
+  /** Called when the channel failed, was closed or became unresponsive. */
   void lost(@Nullable Channel from, String cause);
 }
--- a/hawthornlb-net/src/main/java/io/hawthornlb/net/peer/support/NearbyPeerSelector.java
+++ b/hawthornlb-net/src/main/java/io/hawthornlb/net/peer/support/NearbyPeerSelector.java
@@ -12,10 +12,11 @@
 import java.util.stream.Collectors;
 
 /**
- * Keeps connections to a bounded number of peers, those of the own data centre first.
+ * Selects a bounded number of peers, those of the same data centre first.
  *
- * <p>In a large fleet connections from each to all would cost more than the messages on them. Which
- * ones are kept is drawn by a hash of both instances, so that no peer is everybody's choice.
+ * <p>In a large fleet, connections from every instance to every other would cost more than the
+ * messages on them. Peers are ranked by a hash of both instance ids, so that the instances do not
+ * all select the same peers.
  */
 public final class NearbyPeerSelector implements PeerSelector {
 
--- a/hawthornlb-net/src/main/java/io/hawthornlb/net/peer/support/NettyPeerClient.java
+++ b/hawthornlb-net/src/main/java/io/hawthornlb/net/peer/support/NettyPeerClient.java
@@ -22,7 +22,7 @@
 import java.util.random.RandomGenerator;
 import org.jspecify.annotations.Nullable;
 
-/** Keeps one link to each listed peer. */
+/** {@link PeerClient} on Netty that maintains one {@link PeerLink} to each listed peer. */
 public final class NettyPeerClient implements PeerClient {
 
   private static final System.Logger LOG = System.getLogger(NettyPeerClient.class.getName());
@@ -35,12 +35,12 @@
   private boolean closed;
 
   /**
-   * Creates a client that knows the given peers.
+   * Creates a client that initially knows the given peers.
    *
-   * @param node the own instance
-   * @param known peers to reach before the platform's list has come
-   * @param selector which peers to connect to before there is a message for them
-   * @param random jitters the times between tries to connect; must be safe for many threads
+   * @param node the context of this instance
+   * @param known the peers that are known before the platform's list has arrived
+   * @param selector selects the peers to which a connection is kept open
+   * @param random the source of the backoff jitter; must be safe for use by several threads
    */
   public NettyPeerClient(
       PeerNode node, List<ListedProcess> known, PeerSelector selector, RandomGenerator random) {
@@ -57,13 +57,13 @@
     }
     List<ListedProcess> entries = listed.stream().filter(this::isPeer).toList();
     Set<InstanceId> kept = selector.select(entries);
-    Map<InstanceId, PeerLink> gone = new HashMap<>(links);
+    Map<InstanceId, PeerLink> removed = new HashMap<>(links);
     for (ListedProcess process : entries) {
       InstanceId id = new InstanceId(process.id());
-      gone.remove(id);
+      removed.remove(id);
       update(id, process, kept.contains(id));
     }
-    gone.forEach(this::remove);
+    removed.forEach(this::remove);
   }
 
   private boolean isPeer(ListedProcess process) {
@@ -89,8 +89,9 @@
   /**
    * Returns the address of a listed peer, or null if it must not be used.
    *
-   * <p>Without TLS nothing proves who answers, and a wrong list would have messages sent in clear
-   * through the network; so only loopback addresses are used then.
+   * <p>Without TLS the identity of the peer is not authenticated, and a wrong list would cause
+   * messages to be sent in clear text through the network. Only loopback addresses are therefore
+   * used without TLS.
    */
   private @Nullable InetSocketAddress address(ListedProcess process) {
     String text = process.address();
@@ -99,12 +100,14 @@
     @Nullable InetAddress ip = NetUtil.createInetAddressFromIpAddressString(host);
     if (ip == null || !text.substring(colon + 1).matches("\\d{1,5}")) {
       LOG.log(
-          System.Logger.Level.WARNING, "peers: passed over peer with no IP address: " + process);
+          System.Logger.Level.WARNING,
+          "peers: ignored peer without a valid IP address and port: " + process);
       return null;
     }
     if (!node.security().authenticates() && !ip.isLoopbackAddress()) {
       LOG.log(
-          System.Logger.Level.WARNING, "peers: passed over peer off loopback, no TLS: " + process);
+          System.Logger.Level.WARNING,
+          "peers: ignored peer outside loopback, since TLS is not configured: " + process);
       return null;
     }
     return new InetSocketAddress(ip, Integer.parseInt(text.substring(colon + 1)));
--- a/hawthornlb-net/src/main/java/io/hawthornlb/net/peer/support/NettyPeerServer.java
+++ b/hawthornlb-net/src/main/java/io/hawthornlb/net/peer/support/NettyPeerServer.java
@@ -20,11 +20,16 @@
 import java.util.Optional;
 import java.util.concurrent.Executor;
 
-/** Listens for peers. */
+/** {@link PeerServer} on Netty. */
 public final class NettyPeerServer implements PeerServer {
 
-  /** Clients probe and give up first; this only frees what they left behind. */
-  private static final int SILENCES_BEFORE_CLOSE = 3;
+  /**
+   * Number of allowed silences after which the server closes a connection.
+   *
+   * <p>Clients send probes and close an unresponsive connection earlier. The server only releases
+   * connections that clients left behind.
+   */
+  private static final int CLOSE_SILENCE_FACTOR = 3;
 
   private final PeerNode node;
   private final PeerHandlerRegistry handlers;
@@ -33,12 +38,12 @@
   private final Channel listening;
 
   /**
-   * Starts to listen.
+   * Creates a server and starts listening.
    *
-   * @param node the own instance
-   * @param address where to listen; port 0 lets the machine choose
-   * @param handlers what to do with messages
-   * @param executor runs the handlers, in the order of the messages of a peer
+   * @param node the context of this instance
+   * @param address the address to listen on; with port 0 the operating system chooses a port
+   * @param handlers the handlers of the messages
+   * @param executor runs the handlers; receives the messages of a peer in their order
    * @throws IllegalArgumentException if connections are not secured and the address is not loopback
    */
   public NettyPeerServer(
@@ -76,7 +81,7 @@
     connections.add(channel);
     PeerOptions options = node.options();
     Optional<SslHandler> tls = node.security().serverHandler(channel.alloc());
-    Duration idle = options.silence().multipliedBy(SILENCES_BEFORE_CLOSE);
+    Duration idle = options.silence().multipliedBy(CLOSE_SILENCE_FACTOR);
     PeerConnection last = new PeerConnection(node, handlers, executor);
     PeerPipeline.install(channel.pipeline(), tls, options, idle, last);
   }
--- a/hawthornlb-net/src/main/java/io/hawthornlb/net/peer/support/PeerConnection.java
+++ b/hawthornlb-net/src/main/java/io/hawthornlb/net/peer/support/PeerConnection.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.RejectedExecutionException;
 import org.jspecify.annotations.Nullable;
 
-/** Serves one connection that a peer opened. */
+/** Handles the messages on one connection that a peer opened. */
 final class PeerConnection extends SimpleChannelInboundHandler<PeerFrame> {
 
   private static final System.Logger LOG = System.getLogger(PeerConnection.class.getName());
@@ -60,12 +60,12 @@
     }
   }
 
-  /** Returns the message, or empty for one that this version does not know or cannot read. */
+  /** Returns the message, or empty if this version does not know its type or cannot read it. */
   private Optional<PeerMessage> decode(PeerFrame frame) {
     try {
       return node.codec().decode(frame.content());
     } catch (CodecException e) {
-      LOG.log(System.Logger.Level.WARNING, "peers: a message of " + sender + " is unreadable", e);
+      LOG.log(System.Logger.Level.WARNING, "peers: cannot decode a message from " + sender, e);
       return Optional.empty();
     }
   }
@@ -79,31 +79,35 @@
     try {
       handler
           .handle(from, message)
-          .whenComplete((answer, failure) -> answer(channel, frame, answer, failure));
+          .whenComplete((response, failure) -> respond(channel, frame, response, failure));
     } catch (RuntimeException e) {
-      answer(channel, frame, null, e);
+      respond(channel, frame, null, e);
     }
   }
 
-  private void answer(
-      Channel channel, PeerFrame frame, @Nullable PeerMessage answer, @Nullable Throwable failure) {
+  private void respond(
+      Channel channel,
+      PeerFrame frame,
+      @Nullable PeerMessage response,
+      @Nullable Throwable failure) {
     if (failure != null) {
-      LOG.log(System.Logger.Level.WARNING, "peers: a message of " + sender + " failed", failure);
+      LOG.log(
+          System.Logger.Level.WARNING, "peers: failed to handle a message from " + sender, failure);
       reply(channel, frame, PeerFrame.failure(frame.correlation(), "its handler failed"));
-    } else if (answer == null) {
+    } else if (response == null) {
       reply(channel, frame, PeerFrame.failure(frame.correlation(), "it has no answer"));
     } else {
-      reply(channel, frame, answerFrame(frame, answer));
+      reply(channel, frame, responseFrame(frame, response));
     }
   }
 
-  private PeerFrame answerFrame(PeerFrame request, PeerMessage answer) {
+  private PeerFrame responseFrame(PeerFrame request, PeerMessage response) {
     try {
-      byte[] content = node.codec().encode(answer);
+      byte[] content = node.codec().encode(response);
       PeerFrameCodec.requireFits(content, node.options());
       return new PeerFrame(request.correlation(), FrameKind.ANSWER, content);
     } catch (CodecException | IllegalArgumentException e) {
-      LOG.log(System.Logger.Level.ERROR, "peers: an answer to " + sender + " cannot be sent", e);
+      LOG.log(System.Logger.Level.ERROR, "peers: cannot send a response to " + sender, e);
       return PeerFrame.failure(request.correlation(), "its answer cannot be sent");
     }
   }
@@ -115,10 +119,10 @@
   }
 
   /**
-   * Reads on only while answers can be written.
+   * Applies backpressure: reads requests only while responses can be written.
    *
-   * <p>A peer that asks but does not read its answers would fill the memory of this instance; it
-   * gets no further request through until it reads.
+   * <p>A peer that sends requests but does not read the responses would fill the memory of this
+   * instance. Its further requests are not read until it reads the responses.
    */
   @Override
   public void channelWritabilityChanged(ChannelHandlerContext context) {
@@ -137,7 +141,7 @@
     Object peer = sender == null ? context.channel().remoteAddress() : sender;
     LOG.log(
         System.Logger.Level.WARNING,
-        "peers: connection of " + peer + " closed: " + Causes.text(cause));
+        "peers: connection from " + peer + " closed: " + Causes.text(cause));
     context.close();
   }
 }
--- a/hawthornlb-net/src/main/java/io/hawthornlb/net/peer/support/PeerFrame.java
+++ b/hawthornlb-net/src/main/java/io/hawthornlb/net/peer/support/PeerFrame.java
@@ -5,16 +5,16 @@
 /**
  * One frame between peers.
  *
- * @param correlation joins an answer to its request; 0 where there is none
- * @param kind what the frame is for
+ * @param correlation the id that relates a response to its request; 0 for frames of other kinds
+ * @param kind the purpose of the frame
  * @param content the encoded message or text; empty for probes
  */
 record PeerFrame(long correlation, FrameKind kind, byte[] content) {
 
-  private static final byte[] NOTHING = {};
+  private static final byte[] EMPTY = {};
 
   static PeerFrame probe() {
-    return new PeerFrame(0, FrameKind.PROBE, NOTHING);
+    return new PeerFrame(0, FrameKind.PROBE, EMPTY);
   }
 
   static PeerFrame failure(long correlation, String cause) {
--- a/hawthornlb-net/src/main/java/io/hawthornlb/net/peer/support/PeerFrameCodec.java
+++ b/hawthornlb-net/src/main/java/io/hawthornlb/net/peer/support/PeerFrameCodec.java
@@ -14,7 +14,7 @@
 /** Encodes frames as a MessagePack array of correlation id, kind and binary content. */
 final class PeerFrameCodec {
 
-  /** Bytes that a frame adds to its content at most. */
+  /** The most bytes that a frame adds to its content. */
   private static final int MAX_OVERHEAD = 32;
 
   private static final int MEMBERS = 3;
@@ -22,12 +22,12 @@
   private PeerFrameCodec() {}
 
   /**
-   * Checks that a content fits into a frame.
+   * Checks that content fits into a frame.
    *
-   * <p>The receiver closes the connection at a frame that is too large, and with it every other
-   * request in progress would fail; so the sender refuses it first.
+   * <p>A receiver closes the connection when it receives a frame that is too large, and every other
+   * request in progress on the connection fails. The sender therefore rejects the content first.
    *
-   * @throws PeerFrameTooLargeException if it does not fit
+   * @throws PeerFrameTooLargeException if the content does not fit
    */
   static void requireFits(byte[] content, PeerOptions options) {
     int limit = options.frameLimit() - MAX_OVERHEAD;
@@ -52,7 +52,7 @@
   /**
    * Returns the frame, or empty if its kind is unknown to this version.
    *
-   * @throws CodecException if the bytes are no frame
+   * @throws CodecException if the bytes are not a frame
    */
   static Optional<PeerFrame> decode(byte[] bytes) {
     try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(bytes)) {
@@ -64,7 +64,7 @@
       byte[] content = unpacker.readPayload(unpacker.unpackBinaryHeader());
       return kind.map(known -> new PeerFrame(correlation, known, content));
     } catch (IOException | MessagePackException e) {
-      throw new CodecException("the bytes are no frame", e);
+      throw new CodecException("the bytes are not a frame", e);
     }
   }
 }
--- a/hawthornlb-net/src/main/java/io/hawthornlb/net/peer/support/PeerFrameHandler.java
+++ b/hawthornlb-net/src/main/java/io/hawthornlb/net/peer/support/PeerFrameHandler.java
@@ -7,7 +7,7 @@
 import io.netty.handler.codec.MessageToMessageCodec;
 import java.util.List;
 
-/** Turns the bytes of whole frames into frames and back. */
+/** Converts between the bytes of a complete frame and {@link PeerFrame}. */
 final class PeerFrameHandler extends MessageToMessageCodec<ByteBuf, PeerFrame> {
 
   @Override
--- a/hawthornlb-net/src/main/java/io/hawthornlb/net/peer/support/PeerHello.java
+++ b/hawthornlb-net/src/main/java/io/hawthornlb/net/peer/support/PeerHello.java
@@ -7,10 +7,10 @@
 import io.hawthornlb.net.codec.TypeRegistry;
 
 /**
- * Names the sender of all further frames of a connection.
+ * First message on a connection, which identifies the sender of all further frames.
  *
- * @param sender the sender
- * @param version the newest version of the protocol that it speaks
+ * @param sender the instance that sends the frames
+ * @param version the newest protocol version that the sender supports
  */
 record PeerHello(InstanceId sender, int version) implements PeerMessage {
 
@@ -25,9 +25,9 @@
   }
 
   /**
-   * Returns the sender that a frame names.
+   * Returns the sender that a hello frame identifies.
    *
-   * @throws CodecException if it is no hello
+   * @throws CodecException if the frame is not a hello
    */
   static InstanceId senderOf(PeerFrame frame) {
     if (frame.kind() != FrameKind.HELLO) {
@@ -36,6 +36,6 @@
     return CODEC
         .decode(frame.content())
         .map(PeerHello::sender)
-        .orElseThrow(() -> new CodecException("the hello names no sender", null));
+        .orElseThrow(() -> new CodecException("the hello does not identify its sender", null));
   }
 }
--- a/hawthornlb-net/src/main/java/io/hawthornlb/net/peer/support/PeerLink.java
+++ b/hawthornlb-net/src/main/java/io/hawthornlb/net/peer/support/PeerLink.java
@@ -24,9 +24,10 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The connection to one peer, through losses and reconnects.
+ * Maintains the connection to one peer, and reconnects after failures.
  *
- * <p>All state is confined to one event loop; public methods may be called from any thread.
+ * <p>All state is confined to one event loop. The methods that other classes call, except those of
+ * {@link LinkListener}, may be called from any thread.
  */
 final class PeerLink implements LinkListener {
 
@@ -38,7 +39,7 @@
           "connection.yaml",
           new ChartTypes<>(LinkState.class, LinkEvent.class, LinkAction.class));
 
-  private static final int MAX_HELD_FRAMES = 256;
+  private static final int MAX_QUEUED_FRAMES = 256;
 
   private final InstanceId peer;
   private final InetSocketAddress address;
@@ -49,12 +50,12 @@
   private final Backoff backoff;
   private final PendingRequests pending;
   private final ChartInstance<LinkState, LinkEvent, LinkAction> state = new ChartInstance<>(CHART);
-  private final Deque<PeerFrame> held = new ArrayDeque<>();
+  private final Deque<PeerFrame> queued = new ArrayDeque<>();
   private @Nullable Channel channel;
   private @Nullable ScheduledFuture<?> timer;
   private String lastCause = "never connected";
   private long nextCorrelation = 1;
-  private boolean kept;
+  private boolean keepOpen;
   private boolean used;
 
   PeerLink(
@@ -77,18 +78,18 @@
     return address;
   }
 
-  /** Connects and stays connected, or lets the connection go once nobody uses it. */
-  void keep(boolean wanted) {
+  /** Sets whether the connection is kept open, or opened on demand and closed when unused. */
+  void keep(boolean open) {
     onEventLoop(
         () -> {
-          kept = wanted;
-          if (wanted) {
+          keepOpen = open;
+          if (open) {
             fire(LinkEvent.USE);
           }
         });
   }
 
-  /** Closes for good. */
+  /** Closes the link permanently. */
   void close() {
     onEventLoop(this::remove);
   }
@@ -99,11 +100,11 @@
     fire(LinkEvent.REMOVED);
   }
 
-  /** Sends without an answer; dropped while the peer is out of reach or behind. */
+  /** Sends a message that expects no response. Drops it if the peer is unreachable or congested. */
   void send(byte[] content) {
     onEventLoop(
         () -> {
-          use();
+          markUsed();
           write(new PeerFrame(0, FrameKind.SEND, content));
         });
   }
@@ -111,39 +112,42 @@
   CompletableFuture<PeerMessage> request(byte[] content, Duration timeout) {
     CompletableFuture<PeerMessage> result = new CompletableFuture<>();
     if (!onEventLoop(() -> startRequest(content, timeout, result))) {
-      result.completeExceptionally(new PeerUnavailableException(peer, "this instance stops"));
+      result.completeExceptionally(
+          new PeerUnavailableException(peer, "this instance is shutting down"));
     }
     return result;
   }
 
   private void startRequest(
       byte[] content, Duration timeout, CompletableFuture<PeerMessage> result) {
-    use();
+    markUsed();
     if (pending.size() >= node.options().pendingLimit()) {
-      result.completeExceptionally(new PeerUnavailableException(peer, "too many requests wait"));
+      result.completeExceptionally(
+          new PeerUnavailableException(peer, "too many requests are waiting for a response"));
       return;
     }
     long correlation = nextCorrelation++;
     pending.add(correlation, result, timeout);
     if (!write(new PeerFrame(correlation, FrameKind.REQUEST, content))) {
-      pending.fail(correlation, refusalCause());
+      pending.fail(correlation, rejectionCause());
     }
   }
 
-  private void use() {
+  private void markUsed() {
     used = true;
     fire(LinkEvent.USE);
   }
 
-  private String refusalCause() {
+  private String rejectionCause() {
     return state.state() == LinkState.READY ? "its connection is congested" : lastCause;
   }
 
   /**
-   * Writes a frame, or holds it for a connection that is being made.
+   * Writes a frame, or queues it while the connection is being opened. Returns false if the frame
+   * was rejected.
    *
-   * <p>A peer that reads slowly would make this instance buffer without bound until its memory
-   * ends; above the limit the channel is not writable and frames are refused instead.
+   * <p>For a peer that reads slowly, this instance would buffer frames until it runs out of memory.
+   * Above the write limit the channel is not writable, and frames are rejected.
    */
   private boolean write(PeerFrame frame) {
     if (state.state() == LinkState.READY && channel != null) {
@@ -154,8 +158,8 @@
       return writable;
     }
     boolean connecting =
-        state.state() == LinkState.CONNECTING || state.state() == LinkState.GREETING;
-    return connecting && held.size() < MAX_HELD_FRAMES && held.add(frame);
+        state.state() == LinkState.CONNECTING || state.state() == LinkState.AWAITING_HELLO;
+    return connecting && queued.size() < MAX_QUEUED_FRAMES && queued.add(frame);
   }
 
   @Override
@@ -170,44 +174,45 @@
     if (from != channel) {
       return;
     }
-    if (state.state() == LinkState.GREETING) {
-      greeted(PeerHello.senderOf(frame));
+    if (state.state() == LinkState.AWAITING_HELLO) {
+      verifyHello(PeerHello.senderOf(frame));
       return;
     }
     switch (frame.kind()) {
-      case ANSWER -> answered(frame);
+      case ANSWER -> completeRequest(frame);
       case FAILURE -> pending.fail(frame.correlation(), frame.text());
       default -> {
-        // A probe that comes back has done its work when its bytes were read.
+        // A returned probe needs no handling: its received bytes have reset the idle time.
       }
     }
   }
 
   /**
-   * Checks who answered.
+   * Checks that the instance that sent the hello is the expected peer.
    *
-   * <p>Instances are replaced at any time and addresses used again: messages for a gone instance
-   * would reach its successor, which would answer from another state. A peer that is known by the
-   * name of its settings only, before the platform's list has come, may be any start of it.
+   * <p>Instances are replaced at any time, and their addresses are reused. Without this check,
+   * messages for a replaced instance would reach its successor, which would respond from a
+   * different state. Before the platform's list has arrived, a peer is known only by its configured
+   * name; any start of the instance with that name is then accepted.
    */
-  private void greeted(InstanceId sender) {
+  private void verifyHello(InstanceId sender) {
     boolean startOfName = peer.value().equals(sender.stableName());
     if (sender.equals(peer) || startOfName) {
-      fire(LinkEvent.GREETED);
+      fire(LinkEvent.HELLO_RECEIVED);
     } else {
-      lost(channel, "another instance, " + sender + ", answers at " + address);
+      lost(channel, "another instance, " + sender + ", responds at " + address);
     }
   }
 
-  private void answered(PeerFrame frame) {
+  private void completeRequest(PeerFrame frame) {
     try {
       node.codec()
           .decode(frame.content())
           .ifPresentOrElse(
-              answer -> pending.complete(frame.correlation(), answer),
-              () -> pending.fail(frame.correlation(), "its answer is of an unknown type"));
+              response -> pending.complete(frame.correlation(), response),
+              () -> pending.fail(frame.correlation(), "its response has an unknown type"));
     } catch (CodecException e) {
-      pending.fail(frame.correlation(), "its answer is unreadable");
+      pending.fail(frame.correlation(), "its response cannot be decoded");
     }
   }
 
@@ -230,66 +235,66 @@
   private void perform(LinkAction action) {
     switch (action) {
       case OPEN -> channel = connector.connect(address, eventLoop, this);
-      case GREET -> greet();
-      case ANNOUNCE -> announce();
+      case SEND_HELLO -> sendHello();
+      case MARK_REACHABLE -> markReachable();
       case FLUSH -> flush();
       case FAIL_REQUESTS -> failRequests();
-      case BACK_OFF -> backOff();
-      case WATCH_USE -> watchUse();
+      case SCHEDULE_RECONNECT -> scheduleReconnect();
+      case START_IDLE_CHECK -> startIdleCheck();
       case DISCONNECT -> disconnect();
       default -> throw new IllegalStateException("unknown action " + action);
     }
   }
 
-  private void greet() {
+  private void sendHello() {
     if (channel != null) {
       channel.writeAndFlush(PeerHello.frame(node.self()));
     }
   }
 
-  private void announce() {
+  private void markReachable() {
     backoff.reset();
     reachable.put(peer, this);
     LOG.log(System.Logger.Level.DEBUG, "peers: connected to " + peer + " at " + address);
   }
 
   private void flush() {
-    while (!held.isEmpty()) {
-      PeerFrame frame = held.remove();
+    while (!queued.isEmpty()) {
+      PeerFrame frame = queued.remove();
       if (!write(frame)) {
-        pending.fail(frame.correlation(), refusalCause());
+        pending.fail(frame.correlation(), rejectionCause());
       }
     }
   }
 
   private void failRequests() {
     reachable.remove(peer, this);
-    held.clear();
+    queued.clear();
     pending.failAll(lastCause);
   }
 
-  private void watchUse() {
+  private void startIdleCheck() {
     used = false;
-    later(node.options().idleTimeout(), this::closeIfUnused);
+    scheduleTimer(node.options().idleTimeout(), this::closeIfUnused);
   }
 
   private void closeIfUnused() {
     if (state.state() != LinkState.READY) {
       return;
     }
-    if (kept || used || pending.size() > 0) {
-      watchUse();
+    if (keepOpen || used || pending.size() > 0) {
+      startIdleCheck();
     } else {
       fire(LinkEvent.UNUSED);
     }
   }
 
-  private void backOff() {
-    later(backoff.next(), () -> fire(LinkEvent.DUE));
+  private void scheduleReconnect() {
+    scheduleTimer(backoff.next(), () -> fire(LinkEvent.DUE));
   }
 
-  /** Runs a task later in place of the one that waits; a state waits for one thing only. */
-  private void later(Duration delay, Runnable task) {
+  /** Schedules a task and cancels the previously scheduled one; each state needs at most one. */
+  private void scheduleTimer(Duration delay, Runnable task) {
     cancelTimer();
     timer = eventLoop.schedule(task, delay.toMillis(), TimeUnit.MILLISECONDS);
   }
@@ -301,10 +306,10 @@
   }
 
   private void disconnect() {
-    Channel former = channel;
+    Channel oldChannel = channel;
     channel = null;
-    if (former != null) {
-      former.close();
+    if (oldChannel != null) {
+      oldChannel.close();
     }
   }
 
--- a/hawthornlb-net/src/main/java/io/hawthornlb/net/peer/support/PeerPipeline.java
+++ b/hawthornlb-net/src/main/java/io/hawthornlb/net/peer/support/PeerPipeline.java
@@ -11,7 +11,7 @@
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 
-/** Lays the handlers of a connection between peers. */
+/** Installs the channel handlers of a connection between peers. */
 final class PeerPipeline {
 
   private static final int LENGTH_BYTES = 4;
@@ -19,10 +19,10 @@
   private PeerPipeline() {}
 
   /**
-   * Adds all handlers.
+   * Adds all handlers to a pipeline.
    *
-   * <p>Idle time is measured on raw bytes, before TLS and frames: a large frame on a slow link is
-   * not silence.
+   * <p>Idle time is measured on raw bytes, before TLS and framing, so that a connection which
+   * slowly receives a large frame does not count as idle.
    */
   static void install(
       ChannelPipeline pipeline,
--- a/hawthornlb-net/src/main/java/io/hawthornlb/net/peer/support/PendingRequests.java
+++ b/hawthornlb-net/src/main/java/io/hawthornlb/net/peer/support/PendingRequests.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.TimeUnit;
 import org.jspecify.annotations.Nullable;
 
-/** Requests to one peer that wait for their answers; confined to an event loop. */
+/** The requests to one peer that wait for a response. Confined to one event loop. */
 final class PendingRequests {
 
   private final InstanceId peer;
@@ -39,11 +39,11 @@
     pending.put(correlation, new Pending(result, timer));
   }
 
-  /** Completes a request; an answer that comes after its timeout finds none and is dropped. */
-  void complete(long correlation, PeerMessage answer) {
+  /** Completes a request. A response that arrives after the request's timeout is dropped. */
+  void complete(long correlation, PeerMessage response) {
     @Nullable Pending request = remove(correlation);
     if (request != null) {
-      request.result().complete(answer);
+      request.result().complete(response);
     }
   }
 
--- a/hawthornlb-net/src/test/java/io/hawthornlb/net/peer/support/ForwardingProxy.java
+++ b/hawthornlb-net/src/test/java/io/hawthornlb/net/peer/support/ForwardingProxy.java
@@ -13,22 +13,22 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 
-/** Stands between two ends and can lose track of the connections that are open. */
+/** TCP proxy that can drop all bytes on its open connections without closing them. */
 final class ForwardingProxy implements AutoCloseable {
 
   private final InetSocketAddress target;
   private final ServerSocket listening;
   private final ExecutorService threads = Executors.newCachedThreadPool();
-  private final List<Pair> pairs = new CopyOnWriteArrayList<>();
+  private final List<Connection> proxiedConnections = new CopyOnWriteArrayList<>();
   private volatile CountDownLatch release = new CountDownLatch(0);
 
-  private static final class Pair {
+  private static final class Connection {
 
     private final Socket near;
     private final Socket far;
-    private volatile boolean silent;
+    private volatile boolean dropping;
 
-    private Pair(Socket near, Socket far) {
+    private Connection(Socket near, Socket far) {
       this.near = near;
       this.far = far;
     }
@@ -44,12 +44,12 @@
     return (InetSocketAddress) listening.getLocalSocketAddress();
   }
 
-  /** Open connections get no further byte and are not closed; new ones work. */
-  void silenceOpenConnections() {
-    pairs.forEach(pair -> pair.silent = true);
+  /** Drops all further bytes on open connections without closing them; new connections work. */
+  void stallOpenConnections() {
+    proxiedConnections.forEach(connection -> connection.dropping = true);
   }
 
-  /** Bytes wait until {@link #release}. */
+  /** Holds back all bytes until {@link #release}. */
   void hold() {
     release = new CountDownLatch(1);
   }
@@ -59,48 +59,49 @@
   }
 
   int connections() {
-    return pairs.size();
+    return proxiedConnections.size();
   }
 
   private void accept() {
     try {
       while (true) {
         Socket near = listening.accept();
-        Pair pair = new Pair(near, new Socket(target.getAddress(), target.getPort()));
-        pairs.add(pair);
-        threads.execute(() -> forward(pair, pair.near, pair.far));
-        threads.execute(() -> forward(pair, pair.far, pair.near));
+        Connection connection =
+            new Connection(near, new Socket(target.getAddress(), target.getPort()));
+        proxiedConnections.add(connection);
+        threads.execute(() -> forward(connection, connection.near, connection.far));
+        threads.execute(() -> forward(connection, connection.far, connection.near));
       }
     } catch (IOException ignored) {
       // The proxy is closed.
     }
   }
 
-  private void forward(Pair pair, Socket from, Socket to) {
+  private void forward(Connection connection, Socket from, Socket to) {
     byte[] buffer = new byte[8_192];
     try {
       InputStream in = from.getInputStream();
       OutputStream out = to.getOutputStream();
       for (int n = in.read(buffer); n >= 0; n = in.read(buffer)) {
         release.await();
-        if (!pair.silent) {
+        if (!connection.dropping) {
           out.write(buffer, 0, n);
         }
       }
-      if (!pair.silent) {
+      if (!connection.dropping) {
         to.close();
       }
     } catch (IOException | InterruptedException ignored) {
-      // One end is gone and the other forwarder sees it too, or the proxy is closed.
+      // One end closed the connection, which the other forwarder sees too, or the proxy is closed.
     }
   }
 
   @Override
   public void close() throws IOException {
     listening.close();
-    for (Pair pair : pairs) {
-      pair.near.close();
-      pair.far.close();
+    for (Connection connection : proxiedConnections) {
+      connection.near.close();
+      connection.far.close();
     }
     threads.shutdownNow();
   }
--- a/hawthornlb-net/src/test/java/io/hawthornlb/net/peer/support/NettyPeerTransportTest.java
+++ b/hawthornlb-net/src/test/java/io/hawthornlb/net/peer/support/NettyPeerTransportTest.java
@@ -3,14 +3,14 @@
 import static io.hawthornlb.net.peer.support.PeerFixture.CLIENT;
 import static io.hawthornlb.net.peer.support.PeerFixture.FAST;
 import static io.hawthornlb.net.peer.support.PeerFixture.GHALA;
-import static io.hawthornlb.net.peer.support.PeerFixture.LONG;
+import static io.hawthornlb.net.peer.support.PeerFixture.LONG_TIMEOUT;
 import static io.hawthornlb.net.peer.support.PeerFixture.SERVER;
-import static io.hawthornlb.net.peer.support.PeerFixture.SHORT;
-import static io.hawthornlb.net.peer.support.PeerFixture.UNGUARDED;
-import static io.hawthornlb.net.peer.support.PeerFixture.answers;
-import static io.hawthornlb.net.peer.support.PeerFixture.ask;
+import static io.hawthornlb.net.peer.support.PeerFixture.SHORT_TIMEOUT;
+import static io.hawthornlb.net.peer.support.PeerFixture.WITHOUT_PROBES;
 import static io.hawthornlb.net.peer.support.PeerFixture.failure;
 import static io.hawthornlb.net.peer.support.PeerFixture.listed;
+import static io.hawthornlb.net.peer.support.PeerFixture.responds;
+import static io.hawthornlb.net.peer.support.PeerFixture.sendPing;
 import static org.awaitility.Awaitility.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -52,136 +52,145 @@
   }
 
   @Test
-  void answersRequestsAndNamesTheSender() {
+  void respondsToRequestsAndIdentifiesSender() {
     NettyPeerServer server = fixture.server(PLAIN);
     NettyPeerClient client = fixture.client(PLAIN, FAST, server.address());
 
-    assertEquals(new Pong(CLIENT, "a"), ask(client, SERVER, "a", LONG).join());
+    assertEquals(new Pong(CLIENT, "a"), sendPing(client, SERVER, "a", LONG_TIMEOUT).join());
     assertEquals(Set.of(SERVER), client.reachable());
   }
 
   @Test
-  void failsRequestsThatHaveNoAnswer() {
+  void failsRequestsWithoutResponse() {
     NettyPeerServer server = fixture.server(PLAIN);
     NettyPeerClient client = fixture.client(PLAIN, FAST, server.address());
 
-    assertTrue(failure(ask(client, SERVER, "fail", LONG)).getMessage().contains("handler failed"));
-    assertTrue(failure(ask(client, SERVER, "null", LONG)).getMessage().contains("no answer"));
-    assertTrue(failure(ask(client, SERVER, "never", SHORT)).getMessage().contains("timeout"));
+    assertTrue(
+        failure(sendPing(client, SERVER, "fail", LONG_TIMEOUT))
+            .getMessage()
+            .contains("handler failed"));
+    assertTrue(
+        failure(sendPing(client, SERVER, "null", LONG_TIMEOUT)).getMessage().contains("no answer"));
+    assertTrue(
+        failure(sendPing(client, SERVER, "never", SHORT_TIMEOUT)).getMessage().contains("timeout"));
     CompletableFuture<PeerMessage> unhandled =
-        client.request(SERVER, new Pong(CLIENT, "x"), LONG).toCompletableFuture();
+        client.request(SERVER, new Pong(CLIENT, "x"), LONG_TIMEOUT).toCompletableFuture();
     assertTrue(failure(unhandled).getMessage().contains("no handler"));
-    assertTrue(answers(client));
+    assertTrue(responds(client));
   }
 
-  // Every request to one peer times out, for good, while all other peers reach it: a middlebox has
-  // lost track of the one open connection, so writes succeed and nothing comes back. Probes must
-  // find it, fail what waits, and go on over a new connection.
+  // Guards against a peer that stays unreachable on a half-open connection. A middlebox has lost
+  // the state of the open connection, so writes succeed but nothing comes back. Every request to
+  // the peer times out, although all other peers reach it. Probes must detect this, fail the
+  // waiting requests and open a new connection.
   @Test
-  void findsSilentConnectionsAndReconnects() throws Exception {
+  void detectsUnresponsiveConnectionAndReconnects() throws Exception {
     NettyPeerServer server = fixture.server(PLAIN);
     ForwardingProxy proxy = fixture.keep(new ForwardingProxy(server.address()));
     NettyPeerClient client = fixture.client(PLAIN, FAST, proxy.address());
-    assertTrue(ask(client, SERVER, "before", LONG).join() instanceof Pong);
+    assertTrue(sendPing(client, SERVER, "before", LONG_TIMEOUT).join() instanceof Pong);
 
-    proxy.silenceOpenConnections();
-    Throwable cause = failure(ask(client, SERVER, "during", LONG));
+    proxy.stallOpenConnections();
+    Throwable cause = failure(sendPing(client, SERVER, "during", LONG_TIMEOUT));
 
     assertInstanceOf(PeerUnavailableException.class, cause);
     assertTrue(cause.getMessage().contains("silent"), cause.getMessage());
-    await().atMost(LONG).until(() -> answers(client));
+    await().atMost(LONG_TIMEOUT).until(() -> responds(client));
     assertTrue(proxy.connections() > 1);
   }
 
-  // The same story with the probes out: the client never notices, although a new connection to the
-  // same address is answered.
+  // Shows that the probes are what detects a half-open connection. Without probes the client keeps
+  // using it, although a new connection to the same address works.
   @Test
-  void withoutProbesSilentConnectionsStay() throws Exception {
+  void withoutProbesUnresponsiveConnectionIsKept() throws Exception {
     NettyPeerServer server = fixture.server(PLAIN);
     ForwardingProxy proxy = fixture.keep(new ForwardingProxy(server.address()));
-    NettyPeerClient client = fixture.client(PLAIN, UNGUARDED, proxy.address());
-    assertTrue(ask(client, SERVER, "before", LONG).join() instanceof Pong);
+    NettyPeerClient client = fixture.client(PLAIN, WITHOUT_PROBES, proxy.address());
+    assertTrue(sendPing(client, SERVER, "before", LONG_TIMEOUT).join() instanceof Pong);
 
-    proxy.silenceOpenConnections();
+    proxy.stallOpenConnections();
 
     for (int i = 0; i < 5; i++) {
-      assertFalse(answers(client));
+      assertFalse(responds(client));
     }
-    NettyPeerClient fresh = fixture.client(PLAIN, UNGUARDED, proxy.address());
-    assertTrue(ask(fresh, SERVER, "new", LONG).join() instanceof Pong);
+    NettyPeerClient fresh = fixture.client(PLAIN, WITHOUT_PROBES, proxy.address());
+    assertTrue(sendPing(fresh, SERVER, "new", LONG_TIMEOUT).join() instanceof Pong);
   }
 
   @Test
-  void reconnectsWhenThePeerComesBack() {
+  void reconnectsWhenPeerIsAvailableAgain() {
     NettyPeerServer server = fixture.server(PLAIN);
     InetSocketAddress address = server.address();
     NettyPeerClient client = fixture.client(PLAIN, FAST, address);
-    assertTrue(ask(client, SERVER, "a", LONG).join() instanceof Pong);
+    assertTrue(sendPing(client, SERVER, "a", LONG_TIMEOUT).join() instanceof Pong);
 
-    CompletableFuture<PeerMessage> inFlight = ask(client, SERVER, "never", LONG);
+    CompletableFuture<PeerMessage> inFlight = sendPing(client, SERVER, "never", LONG_TIMEOUT);
     server.close();
     assertInstanceOf(PeerUnavailableException.class, failure(inFlight));
-    await().atMost(LONG).until(() -> client.reachable().isEmpty());
+    await().atMost(LONG_TIMEOUT).until(() -> client.reachable().isEmpty());
 
     fixture.server(SERVER, PLAIN, address);
-    await().atMost(LONG).until(() -> answers(client));
+    await().atMost(LONG_TIMEOUT).until(() -> responds(client));
   }
 
-  // An instance is replaced and its successor gets the same address. The lagging list still names
-  // the old one there; messages for it must not be answered by the successor.
+  // Guards against responses from the wrong instance. An instance is replaced, and its successor
+  // gets the same address. The outdated list still has the old instance at that address. The
+  // successor must not respond to messages for the old instance.
   @Test
-  void refusesAnotherInstanceAtTheAddress() {
+  void rejectsAnotherInstanceAtSameAddress() {
     NettyPeerServer server = fixture.server(PLAIN);
-    InstanceId gone = new InstanceId("gone");
-    NettyPeerClient client = fixture.client(PLAIN, FAST, List.of(listed(gone, server.address())));
+    InstanceId replaced = new InstanceId("gone");
+    NettyPeerClient client =
+        fixture.client(PLAIN, FAST, List.of(listed(replaced, server.address())));
 
-    Throwable cause = failure(ask(client, gone, "a", LONG));
+    Throwable cause = failure(sendPing(client, replaced, "a", LONG_TIMEOUT));
 
     assertTrue(cause.getMessage().contains("another instance, entry-2"), cause.getMessage());
     assertEquals(Set.of(), client.reachable());
   }
 
   @Test
-  void followsTheList() {
+  void followsUpdatedPeerList() {
     NettyPeerServer first = fixture.server(PLAIN);
     NettyPeerServer second = fixture.server(PLAIN);
     NettyPeerClient client = fixture.client(PLAIN, FAST, first.address());
-    assertTrue(ask(client, SERVER, "a", LONG).join() instanceof Pong);
+    assertTrue(sendPing(client, SERVER, "a", LONG_TIMEOUT).join() instanceof Pong);
 
     client.updatePeers(List.of());
-    assertTrue(failure(ask(client, SERVER, "b", LONG)).getMessage().contains("not listed"));
-    await().atMost(LONG).until(() -> client.reachable().isEmpty());
+    assertTrue(
+        failure(sendPing(client, SERVER, "b", LONG_TIMEOUT)).getMessage().contains("not listed"));
+    await().atMost(LONG_TIMEOUT).until(() -> client.reachable().isEmpty());
 
     client.updatePeers(List.of(listed(SERVER, second.address()), listed(CLIENT, first.address())));
-    assertTrue(ask(client, SERVER, "c", LONG).join() instanceof Pong);
+    assertTrue(sendPing(client, SERVER, "c", LONG_TIMEOUT).join() instanceof Pong);
     first.close();
-    assertTrue(ask(client, SERVER, "d", LONG).join() instanceof Pong);
+    assertTrue(sendPing(client, SERVER, "d", LONG_TIMEOUT).join() instanceof Pong);
   }
 
   @Test
-  void connectsOnDemandAndLetsUnusedConnectionsGo() {
+  void connectsOnDemandAndClosesUnusedConnections() {
     NettyPeerServer server = fixture.server(PLAIN);
     NettyPeerClient client =
         fixture.client(PLAIN, FAST, List.of(listed(SERVER, server.address())), entries -> Set.of());
     assertEquals(Set.of(), client.reachable());
 
-    assertTrue(ask(client, SERVER, "a", LONG).join() instanceof Pong);
-    await().atMost(LONG).until(() -> client.reachable().isEmpty());
-    assertTrue(ask(client, SERVER, "b", LONG).join() instanceof Pong);
+    assertTrue(sendPing(client, SERVER, "a", LONG_TIMEOUT).join() instanceof Pong);
+    await().atMost(LONG_TIMEOUT).until(() -> client.reachable().isEmpty());
+    assertTrue(sendPing(client, SERVER, "b", LONG_TIMEOUT).join() instanceof Pong);
   }
 
   @Test
-  void keepsABoundedNumberOfPeersNearbyFirst() {
+  void selectsBoundedNumberOfPeersNearbyFirst() {
     List<ListedProcess> entries = new ArrayList<>();
     for (int i = 0; i < 20; i++) {
-      String place = i < 5 ? "ghala" : "ruwi";
+      String dataCentre = i < 5 ? "ghala" : "ruwi";
       ListedProcess entry = listed(new InstanceId("e-" + i), new InetSocketAddress("127.0.0.1", 1));
       entries.add(
           new ListedProcess(
               entry.id(),
               entry.kind(),
               entry.service(),
-              new DataCentre(place),
+              new DataCentre(dataCentre),
               entry.address(),
               entry.state()));
     }
@@ -202,54 +211,57 @@
     assertThrows(IllegalArgumentException.class, () -> fixture.server(SERVER, PLAIN, open));
 
     NettyPeerClient client = fixture.client(PLAIN, FAST, new InetSocketAddress("192.0.2.1", 4_000));
-    assertTrue(failure(ask(client, SERVER, "a", LONG)).getMessage().contains("not listed"));
+    assertTrue(
+        failure(sendPing(client, SERVER, "a", LONG_TIMEOUT)).getMessage().contains("not listed"));
   }
 
   @Test
-  void refusesMessagesOverTheLimitAndKeepsTheConnection() {
+  void rejectsTooLargeMessagesAndKeepsConnection() {
     NettyPeerServer server = fixture.server(PLAIN);
     NettyPeerClient client = fixture.client(PLAIN, FAST, server.address());
     String large = "x".repeat(FAST.frameLimit());
 
-    assertThrows(PeerFrameTooLargeException.class, () -> ask(client, SERVER, large, LONG));
+    assertThrows(
+        PeerFrameTooLargeException.class, () -> sendPing(client, SERVER, large, LONG_TIMEOUT));
     assertThrows(PeerFrameTooLargeException.class, () -> client.send(SERVER, new Ping(large)));
-    assertTrue(ask(client, SERVER, "a", LONG).join() instanceof Pong);
+    assertTrue(sendPing(client, SERVER, "a", LONG_TIMEOUT).join() instanceof Pong);
   }
 
-  // A broken or hostile peer announces a frame of two gigabytes. Buffering it would end the
-  // process; the connection must be closed at the header, and others must not notice.
+  // Guards against memory exhaustion by a broken or hostile peer that announces a frame of 2 GiB.
+  // The server must close the connection when it has read the length header. Other connections must
+  // not be affected.
   @Test
   void closesConnectionsWithOversizedFrames() throws IOException {
     NettyPeerServer server = fixture.server(PLAIN);
     NettyPeerClient client = fixture.client(PLAIN, FAST, server.address());
-    assertTrue(ask(client, SERVER, "a", LONG).join() instanceof Pong);
+    assertTrue(sendPing(client, SERVER, "a", LONG_TIMEOUT).join() instanceof Pong);
 
     try (Socket socket = new Socket(server.address().getAddress(), server.address().getPort())) {
-      socket.setSoTimeout((int) LONG.toMillis());
+      socket.setSoTimeout((int) LONG_TIMEOUT.toMillis());
       byte[] header = ByteBuffer.allocate(4).putInt(Integer.MAX_VALUE).array();
       socket.getOutputStream().write(header);
       assertEquals(-1, socket.getInputStream().read());
     }
-    assertTrue(ask(client, SERVER, "b", LONG).join() instanceof Pong);
+    assertTrue(sendPing(client, SERVER, "b", LONG_TIMEOUT).join() instanceof Pong);
   }
 
-  // One peer stops reading and this instance keeps sending to it: buffered frames would grow until
-  // memory ends. Above the limit requests must fail at once.
+  // Guards against memory exhaustion by buffered frames when a peer stops reading while this
+  // instance keeps sending. Above the write limit, requests must fail at once.
   @Test
-  void refusesRequestsToPeersThatDoNotRead() throws Exception {
+  void rejectsRequestsToPeersThatDoNotRead() throws Exception {
     ServerSocket listening = fixture.keep(new ServerSocket(0, 1, InetAddress.getLoopbackAddress()));
     InetSocketAddress address = (InetSocketAddress) listening.getLocalSocketAddress();
-    NettyPeerClient client = fixture.client(PLAIN, UNGUARDED, address);
+    NettyPeerClient client = fixture.client(PLAIN, WITHOUT_PROBES, address);
     Socket accepted = fixture.keep(listening.accept());
     byte[] hello = PeerFrameCodec.encode(PeerHello.frame(SERVER));
     accepted.getOutputStream().write(ByteBuffer.allocate(4).putInt(hello.length).array());
     accepted.getOutputStream().write(hello);
-    await().atMost(LONG).until(() -> client.reachable().contains(SERVER));
+    await().atMost(LONG_TIMEOUT).until(() -> client.reachable().contains(SERVER));
 
     String text = "x".repeat(32 << 10);
-    CompletableFuture<PeerMessage> last = ask(client, SERVER, text, LONG);
+    CompletableFuture<PeerMessage> last = sendPing(client, SERVER, text, LONG_TIMEOUT);
     for (int i = 0; i < 900 && !last.isDone(); i++) {
-      last = ask(client, SERVER, text, LONG);
+      last = sendPing(client, SERVER, text, LONG_TIMEOUT);
     }
 
     assertTrue(failure(last).getMessage().contains("congested"));
--- a/hawthornlb-net/src/test/java/io/hawthornlb/net/peer/support/PeerCostBenchTest.java
+++ b/hawthornlb-net/src/test/java/io/hawthornlb/net/peer/support/PeerCostBenchTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 
-/** Measures what links between peers cost, both ends in this process. */
+/** Measures the CPU and memory cost of links between peers, with both ends in this process. */
 @Tag("bench")
 class PeerCostBenchTest {
 
@@ -64,7 +64,7 @@
       peers.add(PeerFixture.listed(id, server.address()));
     }
     NettyPeerClient client = fixture.client(clientKeys, PeerOptions.DEFAULT, peers);
-    await().atMost(PeerFixture.LONG).until(() -> client.reachable().size() == links);
+    await().atMost(PeerFixture.LONG_TIMEOUT).until(() -> client.reachable().size() == links);
   }
 
   @Test
@@ -77,36 +77,36 @@
       long[] micros = run(client, REQUESTS, 1);
       report("one at a time", micros, cpuBefore);
       cpuBefore = processCpu();
-      long began = System.nanoTime();
+      long start = System.nanoTime();
       micros = run(client, REQUESTS, PIPELINE);
       report(PIPELINE + " at a time", micros, cpuBefore);
-      double seconds = (System.nanoTime() - began) / 1e9;
+      double seconds = (System.nanoTime() - start) / 1e9;
       System.out.printf("%.0f requests a second, %d at a time%n", REQUESTS / seconds, PIPELINE);
     }
   }
 
-  private static long[] run(NettyPeerClient client, int requests, int atATime) {
+  private static long[] run(NettyPeerClient client, int requests, int concurrency) {
     long[] micros = new long[requests];
-    for (int first = 0; first < requests; first += atATime) {
+    for (int first = 0; first < requests; first += concurrency) {
       List<CompletableFuture<PeerMessage>> batch = new ArrayList<>();
-      long began = System.nanoTime();
-      for (int i = 0; i < atATime && first + i < requests; i++) {
-        batch.add(PeerFixture.ask(client, PeerFixture.SERVER, "x", PeerFixture.LONG));
+      long start = System.nanoTime();
+      for (int i = 0; i < concurrency && first + i < requests; i++) {
+        batch.add(PeerFixture.sendPing(client, PeerFixture.SERVER, "x", PeerFixture.LONG_TIMEOUT));
       }
       batch.forEach(CompletableFuture::join);
-      long took = (System.nanoTime() - began) / 1_000;
-      Arrays.fill(micros, first, first + batch.size(), took);
-      assertEquals(Math.min(atATime, requests - first), batch.size());
+      long elapsed = (System.nanoTime() - start) / 1_000;
+      Arrays.fill(micros, first, first + batch.size(), elapsed);
+      assertEquals(Math.min(concurrency, requests - first), batch.size());
     }
     return micros;
   }
 
-  private static void report(String what, long[] micros, long cpuBefore) {
+  private static void report(String label, long[] micros, long cpuBefore) {
     double cpu = (processCpu() - cpuBefore) / 1e3 / micros.length;
     Arrays.sort(micros);
     System.out.printf(
         "%s: p50 %d us, p99 %d us, cpu %.1f us a request (both ends)%n",
-        what, micros[micros.length / 2], micros[micros.length * 99 / 100], cpu);
+        label, micros[micros.length / 2], micros[micros.length * 99 / 100], cpu);
   }
 
   private static long processCpu() {
@@ -114,7 +114,7 @@
         .getProcessCpuTime();
   }
 
-  /** Returns the processor time of the event loops, without that of the compilers. */
+  /** Returns the CPU time of the event loop threads, which excludes that of the JIT compilers. */
   private static long eventLoopCpu() {
     ThreadMXBean threads = ManagementFactory.getThreadMXBean();
     long sum = 0;
--- a/hawthornlb-net/src/test/java/io/hawthornlb/net/peer/support/PeerFixture.java
+++ b/hawthornlb-net/src/test/java/io/hawthornlb/net/peer/support/PeerFixture.java
@@ -28,14 +28,14 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.TimeUnit;
 
-/** Servers that answer pings, and clients, which are all closed together. */
+/** Creates peer servers that respond to pings, and peer clients, and closes them all together. */
 final class PeerFixture implements AutoCloseable {
 
   static final InstanceId CLIENT = new InstanceId("entry-1");
   static final InstanceId SERVER = new InstanceId("entry-2");
   static final DataCentre GHALA = new DataCentre("ghala");
-  static final Duration LONG = Duration.ofSeconds(20);
-  static final Duration SHORT = Duration.ofMillis(200);
+  static final Duration LONG_TIMEOUT = Duration.ofSeconds(20);
+  static final Duration SHORT_TIMEOUT = Duration.ofMillis(200);
 
   static final PeerOptions FAST =
       new PeerOptions(
@@ -51,8 +51,9 @@
 
   private static final int MANY = 1_000;
 
-  /** The guard taken out: a connection is never probed within a test. */
-  static final PeerOptions UNGUARDED = FAST.withProbes(Duration.ofHours(1), Duration.ofHours(2));
+  /** Options without effective probes: no connection is probed during a test. */
+  static final PeerOptions WITHOUT_PROBES =
+      FAST.withProbes(Duration.ofHours(1), Duration.ofHours(2));
 
   private final EventLoopGroup eventLoops =
       new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
@@ -82,7 +83,8 @@
   private static CompletableFuture<PeerMessage> pong(InstanceId sender, Ping ping) {
     return switch (ping.text()) {
       case "never" -> new CompletableFuture<>();
-      case "fail" -> CompletableFuture.failedFuture(new IllegalStateException("asked to fail"));
+      case "fail" ->
+          CompletableFuture.failedFuture(new IllegalStateException("simulated handler failure"));
       case "null" -> CompletableFuture.completedFuture(null);
       default -> CompletableFuture.completedFuture(new Pong(sender, ping.text()));
     };
@@ -120,15 +122,15 @@
         ListedState.LIVE);
   }
 
-  static CompletableFuture<PeerMessage> ask(
+  static CompletableFuture<PeerMessage> sendPing(
       NettyPeerClient client, InstanceId target, String text, Duration timeout) {
     return client.request(target, new Ping(text), timeout).toCompletableFuture();
   }
 
-  /** Returns whether the server answers now. */
-  static boolean answers(NettyPeerClient client) {
+  /** Returns whether the server responds now. */
+  static boolean responds(NettyPeerClient client) {
     try {
-      return ask(client, SERVER, "hello", SHORT).join() instanceof Pong;
+      return sendPing(client, SERVER, "hello", SHORT_TIMEOUT).join() instanceof Pong;
     } catch (CompletionException expected) {
       return false;
     }
@@ -137,7 +139,8 @@
   /** Returns the cause of a request that must fail. */
   static Throwable failure(CompletableFuture<PeerMessage> request) {
     try {
-      throw new AssertionError("answered " + request.get(60, TimeUnit.SECONDS));
+      throw new AssertionError(
+          "expected a failure, but got the response " + request.get(60, TimeUnit.SECONDS));
     } catch (Exception e) {
       return e.getCause();
     }
--- a/hawthornlb-net/src/test/java/io/hawthornlb/net/peer/support/PeerFrameCodecTest.java
+++ b/hawthornlb-net/src/test/java/io/hawthornlb/net/peer/support/PeerFrameCodecTest.java
@@ -19,7 +19,7 @@
 class PeerFrameCodecTest {
 
   @Property(tries = 300, seed = "20261202")
-  void decodesWhatItEncoded(
+  void decodesEncodedFrame(
       @ForAll @LongRange(min = 0) long correlation,
       @ForAll FrameKind kind,
       @ForAll @Size(max = 100) byte[] content) {
@@ -33,7 +33,7 @@
   }
 
   @Property(tries = 500, seed = "20261202")
-  void refusesOrPassesOverOtherBytes(@ForAll @Size(max = 40) byte[] bytes) {
+  void rejectsOrIgnoresOtherBytes(@ForAll @Size(max = 40) byte[] bytes) {
     try {
       PeerFrameCodec.decode(bytes);
     } catch (CodecException expected) {
@@ -42,7 +42,7 @@
   }
 
   @Test
-  void namesTheSender() {
+  void helloIdentifiesSender() {
     InstanceId self = new InstanceId("entry-1");
 
     assertEquals(self, PeerHello.senderOf(PeerHello.frame(self)));
--- a/hawthornlb-net/src/test/java/io/hawthornlb/net/peer/support/PeerStressTest.java
+++ b/hawthornlb-net/src/test/java/io/hawthornlb/net/peer/support/PeerStressTest.java
@@ -2,10 +2,10 @@
 
 import static io.hawthornlb.net.peer.support.PeerFixture.CLIENT;
 import static io.hawthornlb.net.peer.support.PeerFixture.FAST;
-import static io.hawthornlb.net.peer.support.PeerFixture.LONG;
+import static io.hawthornlb.net.peer.support.PeerFixture.LONG_TIMEOUT;
 import static io.hawthornlb.net.peer.support.PeerFixture.SERVER;
-import static io.hawthornlb.net.peer.support.PeerFixture.ask;
 import static io.hawthornlb.net.peer.support.PeerFixture.listed;
+import static io.hawthornlb.net.peer.support.PeerFixture.sendPing;
 import static org.awaitility.Awaitility.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
@@ -30,45 +30,46 @@
   private static final int THREADS = 4;
   private static final int REQUESTS = 500;
 
-  // While many callers ask at once, the peer moves between two addresses and connections go silent.
-  // Answers are then late, lost or out of order; each caller must get its own answer or a failure,
-  // and nobody may wait for ever.
+  // Guards against responses that reach the wrong caller and requests that never complete. Many
+  // callers send requests at once while the peer moves between two addresses and connections become
+  // unresponsive. Responses are then late, lost or out of order. Each caller must get its own
+  // response or a failure.
   @Test
-  void eachCallerGetsItsOwnAnswerOrAFailure() throws Exception {
+  void eachCallerGetsItsOwnResponseOrAFailure() throws Exception {
     try (PeerFixture fixture = new PeerFixture()) {
       PeerSecurity plain = new PlainPeerSecurity();
       NettyPeerServer first = fixture.server(plain);
       NettyPeerServer second = fixture.server(plain);
       ForwardingProxy proxy = fixture.keep(new ForwardingProxy(second.address()));
       NettyPeerClient client = fixture.client(plain, FAST, first.address());
-      AtomicInteger answered = new AtomicInteger();
+      AtomicInteger responseCount = new AtomicInteger();
       ExecutorService threads = Executors.newFixedThreadPool(THREADS);
       List<Future<?>> callers = new ArrayList<>();
       for (int t = 0; t < THREADS; t++) {
         String name = "caller-" + t + "-";
-        callers.add(threads.submit(() -> askInTurn(client, name, answered)));
+        callers.add(threads.submit(() -> sendPings(client, name, responseCount)));
       }
       for (int i = 0; i < 50; i++) {
         client.updatePeers(List.of(listed(SERVER, proxy.address())));
-        proxy.silenceOpenConnections();
+        proxy.stallOpenConnections();
         client.updatePeers(List.of(listed(SERVER, first.address())));
       }
       for (Future<?> caller : callers) {
         caller.get();
       }
       threads.shutdownNow();
-      assertTrue(answered.get() > 0);
-      await().atMost(LONG).until(() -> PeerFixture.answers(client));
+      assertTrue(responseCount.get() > 0);
+      await().atMost(LONG_TIMEOUT).until(() -> PeerFixture.responds(client));
     }
   }
 
-  private static void askInTurn(NettyPeerClient client, String name, AtomicInteger answered) {
+  private static void sendPings(NettyPeerClient client, String name, AtomicInteger responseCount) {
     for (int i = 0; i < REQUESTS; i++) {
       String text = name + i;
-      CompletableFuture<PeerMessage> request = ask(client, SERVER, text, LONG);
+      CompletableFuture<PeerMessage> request = sendPing(client, SERVER, text, LONG_TIMEOUT);
       try {
         assertEquals(new Pong(CLIENT, text), request.join());
-        answered.incrementAndGet();
+        responseCount.incrementAndGet();
       } catch (CompletionException e) {
         assertInstanceOf(PeerUnavailableException.class, e.getCause());
       }
--- a/hawthornlb-net/src/test/java/io/hawthornlb/net/peer/support/PeerTlsTest.java
+++ b/hawthornlb-net/src/test/java/io/hawthornlb/net/peer/support/PeerTlsTest.java
@@ -2,10 +2,10 @@
 
 import static io.hawthornlb.net.peer.support.PeerFixture.CLIENT;
 import static io.hawthornlb.net.peer.support.PeerFixture.FAST;
-import static io.hawthornlb.net.peer.support.PeerFixture.LONG;
+import static io.hawthornlb.net.peer.support.PeerFixture.LONG_TIMEOUT;
 import static io.hawthornlb.net.peer.support.PeerFixture.SERVER;
-import static io.hawthornlb.net.peer.support.PeerFixture.ask;
 import static io.hawthornlb.net.peer.support.PeerFixture.failure;
+import static io.hawthornlb.net.peer.support.PeerFixture.sendPing;
 import static org.awaitility.Awaitility.await;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -43,7 +43,7 @@
   private TlsFiles files;
 
   @BeforeEach
-  void copyStranger() throws IOException {
+  void copyUntrustedKeys() throws IOException {
     files = new TlsFiles(folder.resolve("c.pem"), folder.resolve("k.pem"), folder.resolve("t.pem"));
     replace("stranger.pem", files.certificate());
     replace("stranger-key.pem", files.key());
@@ -63,40 +63,41 @@
     return TestKeys.security("entry-2", "trust");
   }
 
-  private void assertRefused(PeerSecurity client, PeerSecurity server) {
+  private void assertRejected(PeerSecurity client, PeerSecurity server) {
     NettyPeerServer listening = fixture.server(server);
-    NettyPeerClient refused = fixture.client(client, FAST, listening.address());
+    NettyPeerClient rejected = fixture.client(client, FAST, listening.address());
 
-    Throwable cause = failure(ask(refused, SERVER, "a", LONG));
+    Throwable cause = failure(sendPing(rejected, SERVER, "a", LONG_TIMEOUT));
 
     assertInstanceOf(PeerUnavailableException.class, cause);
     assertFalse(cause.getMessage().contains("timeout"), cause.getMessage());
-    assertEquals(Set.of(), refused.reachable());
+    assertEquals(Set.of(), rejected.reachable());
   }
 
   @Test
-  void peersOfOneTrustTalk() {
+  void peersWithCommonTrustExchangeMessages() {
     NettyPeerServer server = fixture.server(serverKeys());
     NettyPeerClient client =
         fixture.client(TestKeys.security("entry-1", "trust"), FAST, server.address());
 
-    assertEquals(new Pong(CLIENT, "a"), ask(client, SERVER, "a", LONG).join());
+    assertEquals(new Pong(CLIENT, "a"), sendPing(client, SERVER, "a", LONG_TIMEOUT).join());
   }
 
-  // On a busy machine the TLS handshake takes longer than the time after which a silent connection
-  // is probed. The probe was queued behind the handshake and came before the hello, so the server
-  // closed the connection, each time anew, and the peer stayed out of reach.
+  // Guards against probes during the TLS handshake. On a busy machine the handshake takes longer
+  // than the probe time. The probe is queued until the handshake ends and is sent before the hello,
+  // so the server closes the connection. This repeats at each attempt, and the peer stays
+  // unreachable.
   @Test
   void slowHandshakesAreNotProbed() throws Exception {
     NettyPeerServer server = fixture.server(serverKeys());
     ForwardingProxy proxy = fixture.keep(new ForwardingProxy(server.address()));
     proxy.hold();
     Duration probe = Duration.ofMillis(20);
-    PeerOptions options = FAST.withProbes(probe, LONG);
+    PeerOptions options = FAST.withProbes(probe, LONG_TIMEOUT);
     NettyPeerClient client =
         fixture.client(TestKeys.security("entry-1", "trust"), options, proxy.address());
 
-    CompletableFuture<PeerMessage> request = ask(client, SERVER, "a", LONG);
+    CompletableFuture<PeerMessage> request = sendPing(client, SERVER, "a", LONG_TIMEOUT);
     Thread.sleep(probe.toMillis() * 10);
     proxy.release();
 
@@ -105,35 +106,35 @@
   }
 
   @Test
-  void refusesClientsWithoutTls() {
-    assertRefused(new PlainPeerSecurity(), serverKeys());
+  void rejectsClientsWithoutTls() {
+    assertRejected(new PlainPeerSecurity(), serverKeys());
   }
 
   @Test
-  void refusesServersWithoutTls() {
-    assertRefused(TestKeys.security("entry-1", "trust"), new PlainPeerSecurity());
+  void rejectsServersWithoutTls() {
+    assertRejected(TestKeys.security("entry-1", "trust"), new PlainPeerSecurity());
   }
 
-  // Somebody in the network makes a certificate of their own and connects as an entry. The client
-  // side of TLS 1.3 counts its handshake as done before the server has looked at the certificate,
-  // so only the server's hello may make the peer count as reachable.
+  // Guards against a client with an untrusted certificate that poses as an entry instance. In TLS
+  // 1.3 the client completes its handshake before the server has verified the client's certificate.
+  // The client must therefore count the peer as reachable only once the server's hello has arrived.
   @Test
-  void refusesUntrustedClients() {
-    assertRefused(TestKeys.security("stranger", "trust"), serverKeys());
+  void rejectsUntrustedClients() {
+    assertRejected(TestKeys.security("stranger", "trust"), serverKeys());
   }
 
   @Test
-  void refusesUntrustedServers() {
-    assertRefused(
+  void rejectsUntrustedServers() {
+    assertRejected(
         TestKeys.security("entry-1", "trust"), TestKeys.security("stranger", "other-trust"));
   }
 
   @Test
-  void reloadsKeysThatChanged() throws IOException {
+  void reloadsChangedKeys() throws IOException {
     NettyPeerServer server = fixture.server(serverKeys());
     MutualTlsPeerSecurity security = new MutualTlsPeerSecurity(files);
     NettyPeerClient client = fixture.client(security, FAST, server.address());
-    failure(ask(client, SERVER, "a", LONG));
+    failure(sendPing(client, SERVER, "a", LONG_TIMEOUT));
     assertFalse(security.reload());
 
     replace("entry-1.pem", files.certificate());
@@ -141,11 +142,11 @@
     replace("trust.pem", files.trust());
 
     assertTrue(security.reload());
-    await().atMost(LONG).until(() -> PeerFixture.answers(client));
+    await().atMost(LONG_TIMEOUT).until(() -> PeerFixture.responds(client));
   }
 
   @Test
-  void looksAtTheFilesOnATimer() throws IOException {
+  void reloadsChangedKeysPeriodically() throws IOException {
     NettyPeerServer server = fixture.server(serverKeys());
     MutualTlsPeerSecurity security = new MutualTlsPeerSecurity(files);
     NettyPeerClient client = fixture.client(security, FAST, server.address());
@@ -155,16 +156,17 @@
       replace("entry-1.pem", files.certificate());
       replace("entry-1-key.pem", files.key());
       replace("trust.pem", files.trust());
-      await().atMost(LONG).until(() -> PeerFixture.answers(client));
+      await().atMost(LONG_TIMEOUT).until(() -> PeerFixture.responds(client));
     } finally {
       timer.shutdownNow();
     }
   }
 
-  // An operator replaces the certificate and then the key. A reload between both must not take a
-  // pair that does not match: every new connection would fail until the next restart.
+  // Guards against loading a certificate and a key that do not match. An operator replaces the
+  // certificate first and the key afterwards. If a reload in between took the mismatched pair,
+  // every new connection would fail until the next restart.
   @Test
-  void keepsFormerKeysWhileFilesDoNotMatch() throws IOException {
+  void keepsPreviousKeysWhileFilesDoNotMatch() throws IOException {
     MutualTlsPeerSecurity security = new MutualTlsPeerSecurity(files);
     NettyPeerServer server = fixture.server(TestKeys.security("stranger", "other-trust"));
 
@@ -176,11 +178,11 @@
     assertFalse(security.reload());
 
     NettyPeerClient client = fixture.client(security, FAST, server.address());
-    assertTrue(ask(client, SERVER, "a", LONG).join() instanceof Pong);
+    assertTrue(sendPing(client, SERVER, "a", LONG_TIMEOUT).join() instanceof Pong);
   }
 
   @Test
-  void refusesToStartWithFilesThatDoNotMatch() throws IOException {
+  void rejectsMismatchedFilesAtStart() throws IOException {
     replace("entry-1.pem", files.certificate());
     assertThrows(InvalidKeyFilesException.class, () -> new MutualTlsPeerSecurity(files));
     replace("stranger.pem", files.key());
--- a/hawthornlb-net/src/test/java/io/hawthornlb/net/peer/support/Ping.java
+++ b/hawthornlb-net/src/test/java/io/hawthornlb/net/peer/support/Ping.java
@@ -2,5 +2,5 @@
 
 import io.hawthornlb.core.peer.PeerMessage;
 
-/** A message for tests. */
+/** A request for tests. */
 record Ping(String text) implements PeerMessage {}
--- a/hawthornlb-net/src/test/java/io/hawthornlb/net/peer/support/Pong.java
+++ b/hawthornlb-net/src/test/java/io/hawthornlb/net/peer/support/Pong.java
@@ -3,5 +3,5 @@
 import io.hawthornlb.core.model.InstanceId;
 import io.hawthornlb.core.peer.PeerMessage;
 
-/** The answer to a {@link Ping}, with the sender that the answering instance saw. */
+/** The response to a {@link Ping}, with the sender that the responding instance observed. */
 record Pong(InstanceId sender, String text) implements PeerMessage {}
--- a/hawthornlb-net/src/test/java/io/hawthornlb/net/peer/support/TestKeys.java
+++ b/hawthornlb-net/src/test/java/io/hawthornlb/net/peer/support/TestKeys.java
@@ -11,7 +11,7 @@
 
   private TestKeys() {}
 
-  /** Returns one file. */
+  /** Returns the path of a file in the test resources. */
   public static Path file(String name) {
     try {
       return Path.of(TestKeys.class.getResource("/tls/" + name).toURI());
@@ -20,7 +20,7 @@
     }
   }
 
-  /** Returns the files of an instance whose certificate chains to a trusted one. */
+  /** Returns the key files of an instance, with the given trusted certificates. */
   public static TlsFiles files(String instance, String trust) {
     return new TlsFiles(file(instance + ".pem"), file(instance + "-key.pem"), file(trust + ".pem"));
   }
