--- a/hawthornlb-net/src/main/java/io/hawthornlb/net/endpoint/EndpointClient.java
+++ b/hawthornlb-net/src/main/java/io/hawthornlb/net/endpoint/EndpointClient.java
@@ -5,21 +5,21 @@
 import reactor.core.publisher.Mono;
 
 /**
- * Calls endpoints; every failure is an {@link EndpointCallException}.
+ * Client for calls to endpoints. Every failure is an {@link EndpointCallException}.
  *
- * <p>A call is sent once. Whoever repeats one decides so from its fault.
+ * <p>The client sends each call once. The caller decides from the fault whether to retry.
  */
 public interface EndpointClient extends AutoCloseable {
 
-  /** Returns the whole answer, or fails when it has not arrived within the timeout. */
+  /** Returns the complete response. Fails if it has not arrived within the timeout. */
   Mono<WholeAnswer> exchange(EndpointCall call, Duration timeout);
 
   /**
    * Returns the data of each event of a token stream.
    *
-   * <p>Cancelling the subscription closes the connection. The stream fails when no event came for
-   * {@code silence}, or when the connection ends; whether the last event was the end marker is for
-   * the subscriber to see.
+   * <p>Cancelling the subscription closes the connection. The stream fails if no event arrives for
+   * {@code silence}, or if the connection is closed during the response. A stream may also complete
+   * early, so the subscriber must check whether the last event was the end marker.
    */
   Flux<String> events(EndpointCall call, Duration silence);
 
--- a/hawthornlb-net/src/main/java/io/hawthornlb/net/endpoint/EndpointFault.java
+++ b/hawthornlb-net/src/main/java/io/hawthornlb/net/endpoint/EndpointFault.java
@@ -1,18 +1,18 @@
 package io.hawthornlb.net.endpoint;
 
-/** How a call to an endpoint failed. */
+/** The kinds of failure of a call to an endpoint. */
 public enum EndpointFault {
-  /** No connection came about, so no byte has reached the endpoint. */
+  /** No connection could be opened, so no byte has reached the endpoint. */
   NOT_SENT,
-  /** The endpoint said itself that it does not take the request. */
+  /** The endpoint responded that it does not accept the request. */
   DECLINED,
-  /** The endpoint answered that it failed. */
+  /** The endpoint responded that it failed. */
   ERRORED,
-  /** The connection ended before the whole answer. */
+  /** The connection was closed before the complete response had arrived. */
   BROKEN,
-  /** No answer came in time. */
+  /** The response did not arrive within the timeout. */
   TIMED_OUT,
-  /** The answer is larger than the limit or malformed. */
+  /** The response exceeds the size limit or is malformed. */
   UNREADABLE;
 
   /** Returns whether the endpoint may have executed the request. */
--- a/hawthornlb-net/src/main/java/io/hawthornlb/net/endpoint/TrafficKind.java
+++ b/hawthornlb-net/src/main/java/io/hawthornlb/net/endpoint/TrafficKind.java
@@ -1,11 +1,11 @@
 package io.hawthornlb.net.endpoint;
 
-/** Separates the connections of online requests from those of batch items. */
+/** Kinds of traffic to endpoints, which use separate connections. */
 public enum TrafficKind {
-  /** Requests that somebody waits for. */
+  /** Online requests, for which a caller is waiting. */
   ONLINE,
   /** Items of batch jobs. */
   BATCH,
-  /** Reports, orders and probes. */
+  /** Load reports, commands and probes. */
   CONTROL
 }
--- a/hawthornlb-net/src/main/java/io/hawthornlb/net/endpoint/WholeAnswer.java
+++ b/hawthornlb-net/src/main/java/io/hawthornlb/net/endpoint/WholeAnswer.java
@@ -4,11 +4,11 @@
 import java.util.List;
 
 /**
- * An answer that arrived whole.
+ * A complete response of an endpoint.
  *
  * @param status the HTTP status
- * @param headers its end-to-end header fields
- * @param body its body
+ * @param headers the end-to-end header fields
+ * @param body the body
  */
 public record WholeAnswer(int status, List<HeaderField> headers, byte[] body) {
 
@@ -19,7 +19,7 @@
     headers = List.copyOf(headers);
   }
 
-  /** Returns whether the status tells of success. */
+  /** Returns whether the status is below 400. */
   public boolean successful() {
     return status < FIRST_ERROR_STATUS;
   }
--- a/hawthornlb-net/src/main/java/io/hawthornlb/net/endpoint/package-info.java
+++ b/hawthornlb-net/src/main/java/io/hawthornlb/net/endpoint/package-info.java
@@ -1,4 +1,4 @@
-/** Calls to endpoints: whole answers, token streams and the failures of both. */
+/** Calls to endpoints with complete or streamed responses, and their failures. */
 @NullMarked
 package io.hawthornlb.net.endpoint;
 
--- a/hawthornlb-net/src/main/java/io/hawthornlb/net/endpoint/support/HttpEndpointClient.java
+++ b/hawthornlb-net/src/main/java/io/hawthornlb/net/endpoint/support/HttpEndpointClient.java
@@ -36,17 +36,17 @@
 import reactor.core.publisher.Mono;
 
 /**
- * Calls endpoints with the HTTP client of the framework.
+ * Endpoint client on the Micronaut HTTP client.
  *
- * <p>Each kind of traffic has connections of its own, so that an online request never waits behind
- * a batch item for a connection. The threads are those of the kinds, however many endpoints there
- * are.
+ * <p>Each kind of traffic has its own connections, so that an online request never waits for a
+ * connection behind a batch item. Threads are allocated for each kind of traffic, and their number
+ * does not depend on the number of endpoints.
  */
 public final class HttpEndpointClient implements EndpointClient {
 
   private static final int SERVICE_UNAVAILABLE = 503;
   private static final int TOO_MANY_REQUESTS = 429;
-  private static final Set<String> HOP_HEADERS =
+  private static final Set<String> HOP_BY_HOP_HEADERS =
       Set.of(
           "connection",
           "keep-alive",
@@ -63,7 +63,7 @@
   private final Map<TrafficKind, SseClient> streamClients = new EnumMap<>(TrafficKind.class);
   private final EndpointClientSettings settings;
 
-  /** Creates a client without any connection. */
+  /** Creates a client. Connections are opened on demand. */
   public HttpEndpointClient(EndpointClientSettings settings) {
     this.settings = settings;
     for (TrafficKind kind : TrafficKind.values()) {
@@ -77,8 +77,8 @@
     HttpClient client = clients.get(call.kind());
     return Mono.from(client.exchange(request(call), byte[].class))
         .timeout(timeout)
-        .map(HttpEndpointClient::answer)
-        .onErrorResume(HttpEndpointClient::answerOfErrorStatus)
+        .map(HttpEndpointClient::toResponse)
+        .onErrorResume(HttpEndpointClient::toErrorResponse)
         .onErrorMap(error -> failure(call, error));
   }
 
@@ -125,12 +125,12 @@
     return request;
   }
 
-  private static WholeAnswer answer(HttpResponse<byte[]> response) {
+  private static WholeAnswer toResponse(HttpResponse<byte[]> response) {
     byte[] body = response.getBody(byte[].class).orElseGet(() -> new byte[0]);
     return new WholeAnswer(response.code(), endToEndHeaders(response), body);
   }
 
-  private static Mono<WholeAnswer> answerOfErrorStatus(Throwable error) {
+  private static Mono<WholeAnswer> toErrorResponse(Throwable error) {
     if (!(error instanceof HttpClientResponseException failed)) {
       return Mono.error(error);
     }
@@ -145,7 +145,7 @@
         .getHeaders()
         .forEach(
             (name, values) -> {
-              if (!HOP_HEADERS.contains(name.toLowerCase(Locale.ROOT))) {
+              if (!HOP_BY_HOP_HEADERS.contains(name.toLowerCase(Locale.ROOT))) {
                 values.forEach(value -> fields.add(new HeaderField(name, value)));
               }
             });
@@ -162,9 +162,9 @@
   }
 
   private static EndpointFault fault(Throwable error) {
-    if (error instanceof HttpClientResponseException refused) {
+    if (error instanceof HttpClientResponseException errorResponse) {
       boolean declined =
-          refused.code() == SERVICE_UNAVAILABLE || refused.code() == TOO_MANY_REQUESTS;
+          errorResponse.code() == SERVICE_UNAVAILABLE || errorResponse.code() == TOO_MANY_REQUESTS;
       return declined ? EndpointFault.DECLINED : EndpointFault.UNREADABLE;
     }
     if (error instanceof ContentLengthExceededException) {
@@ -177,11 +177,11 @@
   }
 
   /**
-   * Tells a connection that never came about from one that ended.
+   * Returns whether a failure proves that no connection was opened.
    *
-   * <p>Only these causes prove that no byte was sent. Any other failure counts as one after which
-   * the endpoint may have executed the request: a wrong guess here would repeat a request that must
-   * run at most once.
+   * <p>Only the causes listed here prove that no byte was sent. After any other failure the
+   * endpoint may have executed the request. If such a failure were reported as not sent, a request
+   * that must run at most once would be retried.
    */
   private static boolean neverConnected(@Nullable Throwable error) {
     for (Throwable cause = error; cause != null; cause = cause.getCause()) {
--- a/hawthornlb-net/src/main/java/io/hawthornlb/net/endpoint/support/package-info.java
+++ b/hawthornlb-net/src/main/java/io/hawthornlb/net/endpoint/support/package-info.java
@@ -1,4 +1,4 @@
-/** Endpoint calls over the HTTP client of the framework. */
+/** Endpoint client on the Micronaut HTTP client. */
 @NullMarked
 package io.hawthornlb.net.endpoint.support;
 
