--- a/hawthornlb-net/src/main/java/io/hawthornlb/net/tls/PeerSecurity.java
+++ b/hawthornlb-net/src/main/java/io/hawthornlb/net/tls/PeerSecurity.java
@@ -4,10 +4,10 @@
 import io.netty.handler.ssl.SslHandler;
 import java.util.Optional;
 
-/** Secures connections between peers; each handler is made from the newest valid key files. */
+/** Secures connections between peers. Each new handler uses the latest valid key files. */
 public interface PeerSecurity {
 
-  /** Returns whether peers prove who they are; if not, connections must stay on loopback. */
+  /** Returns whether peers are authenticated. If not, connections must stay on loopback. */
   boolean authenticates();
 
   /** Returns the TLS handler of a connection that a peer opened, or empty without TLS. */
--- a/hawthornlb-net/src/main/java/io/hawthornlb/net/tls/TlsFiles.java
+++ b/hawthornlb-net/src/main/java/io/hawthornlb/net/tls/TlsFiles.java
@@ -3,10 +3,10 @@
 import java.nio.file.Path;
 
 /**
- * PEM files of one instance.
+ * The PEM files of one instance.
  *
- * @param certificate its certificate, followed by those between it and a trusted one
- * @param key its private key in PKCS 8, not encrypted
- * @param trust the certificates that the chains of peers must end in
+ * @param certificate the instance's certificate, followed by the intermediate certificates
+ * @param key the instance's unencrypted PKCS 8 private key
+ * @param trust the certificates to which the certificate chains of peers must lead
  */
 public record TlsFiles(Path certificate, Path key, Path trust) {}
--- a/hawthornlb-net/src/main/java/io/hawthornlb/net/tls/package-info.java
+++ b/hawthornlb-net/src/main/java/io/hawthornlb/net/tls/package-info.java
@@ -1,4 +1,4 @@
-/** How peers authenticate each other: mutual TLS from key files, or nothing on loopback. */
+/** Authentication between peers: mutual TLS with key files, or none on loopback. */
 @NullMarked
 package io.hawthornlb.net.tls;
 
--- a/hawthornlb-net/src/main/java/io/hawthornlb/net/tls/support/KeyMaterial.java
+++ b/hawthornlb-net/src/main/java/io/hawthornlb/net/tls/support/KeyMaterial.java
@@ -9,15 +9,15 @@
 import java.util.List;
 
 /**
- * Keys and certificates that belong together.
+ * A private key with its certificate chain, and the trusted certificates.
  *
- * @param chain the instance's certificate first
+ * @param chain the certificate chain, beginning with the instance's own certificate
  * @param key the private key of the first certificate
- * @param trusted the certificates that chains of peers must end in
+ * @param trusted the certificates to which the certificate chains of peers must lead
  */
 record KeyMaterial(List<X509Certificate> chain, PrivateKey key, List<X509Certificate> trusted) {
 
-  private static final byte[] PROBE = {1, 2, 3, 4};
+  private static final byte[] CHALLENGE = {1, 2, 3, 4};
 
   KeyMaterial {
     chain = List.copyOf(chain);
@@ -25,29 +25,31 @@
   }
 
   /**
-   * Checks that the key is that of the certificate.
+   * Returns this key material if the key matches the certificate.
    *
-   * <p>An operator replaces two files one after the other. A reload between both would pair the new
-   * certificate with the old key, and every handshake would fail from then on; so a pair that does
-   * not match is refused and the former pair stays in use.
+   * <p>An operator replaces the two files one after the other. A reload in between would combine
+   * the new certificate with the old key, and every later handshake would fail. A mismatched pair
+   * is therefore rejected, and the previous pair stays in use.
+   *
+   * @throws InvalidKeyFilesException if the key does not match the certificate
    */
   KeyMaterial requireMatch() {
     try {
       String algorithm = signatureAlgorithm(key.getAlgorithm());
       Signature signer = Signature.getInstance(algorithm);
       signer.initSign(key);
-      signer.update(PROBE);
+      signer.update(CHALLENGE);
       byte[] signature = signer.sign();
       PublicKey publicKey = chain.get(0).getPublicKey();
       Signature verifier = Signature.getInstance(algorithm);
       verifier.initVerify(publicKey);
-      verifier.update(PROBE);
+      verifier.update(CHALLENGE);
       if (!verifier.verify(signature)) {
-        throw new InvalidKeyFilesException("the key is not that of the certificate", null);
+        throw new InvalidKeyFilesException("the private key does not match the certificate", null);
       }
       return this;
     } catch (GeneralSecurityException e) {
-      throw new InvalidKeyFilesException("the key is not that of the certificate", e);
+      throw new InvalidKeyFilesException("the private key does not match the certificate", e);
     }
   }
 
--- a/hawthornlb-net/src/main/java/io/hawthornlb/net/tls/support/MutualTlsPeerSecurity.java
+++ b/hawthornlb-net/src/main/java/io/hawthornlb/net/tls/support/MutualTlsPeerSecurity.java
@@ -26,11 +26,12 @@
 import javax.net.ssl.SSLException;
 
 /**
- * TLS 1.3 in which both sides show a certificate that chains to a trusted one.
+ * Mutual TLS 1.3, in which both sides present a certificate that chains to a trusted one.
  *
- * <p>Host names are not checked: instances are replaced at any time and reach each other by IP
- * numbers. Every holder of a certificate under the trusted ones counts as a peer, so these must
- * sign nothing else. Connections that are open at a reload go on with the former keys.
+ * <p>Host names are not verified, since instances are replaced at any time and connect to each
+ * other by IP address. Every owner of a certificate that chains to a trusted certificate is
+ * accepted as a peer, so the trusted certificates must not sign any other certificates. Connections
+ * that are open during a reload keep using the previous keys.
  */
 public final class MutualTlsPeerSecurity implements PeerSecurity {
 
@@ -45,22 +46,26 @@
   private record Contexts(String fingerprint, SslContext server, SslContext client) {}
 
   /**
-   * Loads the files.
+   * Loads the key files.
    *
-   * @throws InvalidKeyFilesException if they are not readable or do not belong together
+   * @throws InvalidKeyFilesException if the files cannot be read, or the key does not match
    */
   public MutualTlsPeerSecurity(TlsFiles files) {
     this.files = files;
     this.contexts = load(fingerprint());
   }
 
-  /** Looks at the files after each interval; cancel the result to stop. */
+  /** Checks the files for changes after each interval. Cancel the returned future to stop. */
   public ScheduledFuture<?> reloadEvery(Duration interval, ScheduledExecutorService timer) {
     long millis = interval.toMillis();
     return timer.scheduleWithFixedDelay(this::reload, millis, millis, TimeUnit.MILLISECONDS);
   }
 
-  /** Loads the files if they changed and are valid; otherwise the former keys stay in use. */
+  /**
+   * Reloads the files if they have changed and are valid. Otherwise the previous keys stay in use.
+   *
+   * @return whether the files were reloaded
+   */
   public boolean reload() {
     try {
       String fingerprint = fingerprint();
@@ -73,7 +78,7 @@
     } catch (InvalidKeyFilesException e) {
       LOG.log(
           System.Logger.Level.ERROR,
-          "tls: key files not reloaded, former ones kept: " + e.getMessage());
+          "tls: failed to reload key files, keeping the previous keys: " + e.getMessage());
       return false;
     }
   }
@@ -108,7 +113,7 @@
               .build();
       return new Contexts(fingerprint, server, client);
     } catch (SSLException e) {
-      throw new InvalidKeyFilesException("key files make no TLS context", e);
+      throw new InvalidKeyFilesException("cannot create a TLS context from the key files", e);
     }
   }
 
@@ -119,7 +124,9 @@
         .trustManager(material.trusted().toArray(X509Certificate[]::new));
   }
 
-  /** Returns a digest of the contents; times of files may stay the same through a change. */
+  /**
+   * Returns a digest of the contents, since a change may leave the files' timestamps as they were.
+   */
   private String fingerprint() {
     try {
       MessageDigest digest = MessageDigest.getInstance("SHA-256");
--- a/hawthornlb-net/src/main/java/io/hawthornlb/net/tls/support/PlainPeerSecurity.java
+++ b/hawthornlb-net/src/main/java/io/hawthornlb/net/tls/support/PlainPeerSecurity.java
@@ -5,7 +5,7 @@
 import io.netty.handler.ssl.SslHandler;
 import java.util.Optional;
 
-/** No TLS. */
+/** Leaves connections without TLS, neither authenticated nor encrypted; for loopback only. */
 public final class PlainPeerSecurity implements PeerSecurity {
 
   @Override
--- a/hawthornlb-net/src/main/java/io/hawthornlb/net/tls/support/package-info.java
+++ b/hawthornlb-net/src/main/java/io/hawthornlb/net/tls/support/package-info.java
@@ -1,4 +1,4 @@
-/** Reads key files and builds the TLS contexts. */
+/** Implementations of peer security, which read key files and build TLS contexts. */
 @NullMarked
 package io.hawthornlb.net.tls.support;
 
