--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/partition/PartitionHost.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/partition/PartitionHost.java
@@ -108,12 +108,12 @@
 
   /** Returns whether the state is whole. */
   boolean complete() {
-    return fold.complete() && follower.knownAsOf().isPresent();
+    return fold.complete() && follower.freshAsOf().isPresent();
   }
 
   /** Returns whether the state holds everything that stood in the stream at a time. */
   boolean knowsAllBefore(Instant time) {
-    return follower.knownAsOf().filter(known -> !known.isBefore(time)).isPresent();
+    return follower.freshAsOf().filter(known -> !known.isBefore(time)).isPresent();
   }
 
   PartitionId id() {
--- a/hawthornlb-net/src/main/java/io/hawthornlb/net/platform/support/StreamFollower.java
+++ b/hawthornlb-net/src/main/java/io/hawthornlb/net/platform/support/StreamFollower.java
@@ -48,7 +48,7 @@
   private final MissedRecordSource missed;
   private final RecentRecords recent;
   private final RecordListener listener;
-  private volatile @Nullable Instant knownAsOf;
+  private volatile @Nullable Instant freshAsOf;
   private volatile boolean closed;
 
   // Used on the fold executor only: the offset of the next read, and whether the fold started from
@@ -94,8 +94,8 @@
    * <p>The returned time is that of sending the read that confirmed this, so it may be earlier than
    * the actual time but never later.
    */
-  public Optional<Instant> knownAsOf() {
-    return Optional.ofNullable(knownAsOf);
+  public Optional<Instant> freshAsOf() {
+    return Optional.ofNullable(freshAsOf);
   }
 
   @Override
@@ -145,7 +145,7 @@
       applyPage(page);
       boolean isLast = page.records().size() < settings.pageRecords();
       if (fold.complete() && isLast) {
-        knownAsOf = requestedAt;
+        freshAsOf = requestedAt;
       }
       pollIn(isLast ? settings.gather() : Duration.ZERO, 0);
     } else if (cause instanceof OffsetExpiredException expired) {
@@ -313,7 +313,7 @@
       return this;
     }
 
-    /** Sets the clock of {@link StreamFollower#knownAsOf}; the system clock by default. */
+    /** Sets the clock of {@link StreamFollower#freshAsOf}; the system clock by default. */
     public Builder clock(InstantSource value) {
       this.clock = value;
       return this;
--- a/hawthornlb-net/src/test/java/io/hawthornlb/net/platform/support/StreamFollowerTest.java
+++ b/hawthornlb-net/src/test/java/io/hawthornlb/net/platform/support/StreamFollowerTest.java
@@ -161,7 +161,7 @@
     Awaitility.await().until(() -> recent.from(0, 10).nextOffset() == 5);
 
     assertEquals(List.of(), fold.numbers());
-    assertTrue(follower.knownAsOf().isEmpty());
+    assertTrue(follower.freshAsOf().isEmpty());
   }
 
   // Guards against data centres that decide differently. While the platform is unavailable, one
@@ -176,7 +176,7 @@
     try (StreamFollower second = follower(behind, recent, source(peerRecords))) {
       second.start();
       awaitNumbers(behind, range(0, 8));
-      assertFalse(second.knownAsOf().isPresent());
+      assertFalse(second.freshAsOf().isPresent());
     }
   }
 
@@ -253,13 +253,13 @@
 
   private static boolean isStale(StreamFollower follower) {
     return follower
-        .knownAsOf()
+        .freshAsOf()
         .orElseThrow()
         .isBefore(InstantSource.system().instant().minusMillis(400));
   }
 
   private static void awaitUpToDate(StreamFollower follower) {
-    Awaitility.await().until(() -> follower.knownAsOf().isPresent());
+    Awaitility.await().until(() -> follower.freshAsOf().isPresent());
   }
 
   private static void awaitNumbers(NoteFold fold, List<Integer> expected) {
