--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/dispatch/ChatDispatcher.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/dispatch/ChatDispatcher.java
@@ -8,9 +8,9 @@
 import io.hawthornlb.net.endpoint.EndpointCallException;
 import io.hawthornlb.net.endpoint.EndpointClient;
 import io.hawthornlb.net.endpoint.EndpointFault;
+import io.hawthornlb.net.endpoint.EndpointResponse;
 import io.hawthornlb.net.endpoint.EngineStreams;
 import io.hawthornlb.net.endpoint.TrafficKind;
-import io.hawthornlb.net.endpoint.WholeAnswer;
 import java.time.Duration;
 import java.time.InstantSource;
 import java.util.List;
@@ -50,7 +50,7 @@
   }
 
   @Override
-  public Mono<WholeAnswer> complete(ChatCall call) {
+  public Mono<EndpointResponse> complete(ChatCall call) {
     return runner.run(request(call), attempt -> whole(attempt, call));
   }
 
@@ -64,7 +64,7 @@
         });
   }
 
-  private Mono<WholeAnswer> whole(RoutedAttempt attempt, ChatCall call) {
+  private Mono<EndpointResponse> whole(RoutedAttempt attempt, ChatCall call) {
     AtomicBoolean answered = new AtomicBoolean();
     return endpoints
         .exchange(engineCall(attempt, call), wholeTimeout(attempt))
@@ -98,7 +98,7 @@
     return slowest.compareTo(attempt.remaining()) < 0 ? slowest : attempt.remaining();
   }
 
-  private static Mono<WholeAnswer> checked(WholeAnswer answer) {
+  private static Mono<EndpointResponse> checked(EndpointResponse answer) {
     if (answer.status() == SERVICE_UNAVAILABLE || answer.status() == TOO_MANY_REQUESTS) {
       return Mono.error(
           new EndpointCallException(EndpointFault.DECLINED, "the engine declined", null));
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/dispatch/ChatService.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/dispatch/ChatService.java
@@ -1,6 +1,6 @@
 package io.hawthornlb.app.dispatch;
 
-import io.hawthornlb.net.endpoint.WholeAnswer;
+import io.hawthornlb.net.endpoint.EndpointResponse;
 import reactor.core.publisher.Flux;
 import reactor.core.publisher.Mono;
 
@@ -8,7 +8,7 @@
 public interface ChatService {
 
   /** Returns the whole answer. */
-  Mono<WholeAnswer> complete(ChatCall call);
+  Mono<EndpointResponse> complete(ChatCall call);
 
   /**
    * Returns the token stream once its first event is there.
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/dispatch/PlainDispatcher.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/dispatch/PlainDispatcher.java
@@ -7,8 +7,8 @@
 import io.hawthornlb.net.endpoint.EndpointCallException;
 import io.hawthornlb.net.endpoint.EndpointClient;
 import io.hawthornlb.net.endpoint.EndpointFault;
+import io.hawthornlb.net.endpoint.EndpointResponse;
 import io.hawthornlb.net.endpoint.TrafficKind;
-import io.hawthornlb.net.endpoint.WholeAnswer;
 import java.time.InstantSource;
 import java.util.List;
 import java.util.Set;
@@ -41,7 +41,7 @@
   }
 
   @Override
-  public Mono<WholeAnswer> call(PlainCall call) {
+  public Mono<EndpointResponse> call(PlainCall call) {
     return runner.run(request(call), attempt -> once(attempt, call));
   }
 
@@ -55,7 +55,7 @@
         || (repeatability == Repeatability.SAFE_METHODS && SAFE_METHODS.contains(call.method()));
   }
 
-  private Mono<WholeAnswer> once(RoutedAttempt attempt, PlainCall call) {
+  private Mono<EndpointResponse> once(RoutedAttempt attempt, PlainCall call) {
     EndpointCall sent =
         new EndpointCall(
             attempt.address(),
@@ -77,7 +77,7 @@
    * <p>A service that answers 503 to a call that must run at most once may have acted before it
    * failed, so the caller gets that answer as it is.
    */
-  private static Mono<WholeAnswer> checked(WholeAnswer answer, RoutedAttempt attempt) {
+  private static Mono<EndpointResponse> checked(EndpointResponse answer, RoutedAttempt attempt) {
     if (answer.status() == SERVICE_UNAVAILABLE && attempt.request().idempotent()) {
       return Mono.error(
           new EndpointCallException(EndpointFault.DECLINED, "the service declined", null));
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/dispatch/PlainService.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/dispatch/PlainService.java
@@ -1,11 +1,11 @@
 package io.hawthornlb.app.dispatch;
 
-import io.hawthornlb.net.endpoint.WholeAnswer;
+import io.hawthornlb.net.endpoint.EndpointResponse;
 import reactor.core.publisher.Mono;
 
 /** Serves calls to plain services; one that is not served fails with {@link RefusalException}. */
 public interface PlainService {
 
   /** Returns the whole answer. */
-  Mono<WholeAnswer> call(PlainCall call);
+  Mono<EndpointResponse> call(PlainCall call);
 }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/EndpointMonitor.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/EndpointMonitor.java
@@ -9,8 +9,8 @@
 import io.hawthornlb.core.routing.PrefixEvent;
 import io.hawthornlb.net.endpoint.EndpointCall;
 import io.hawthornlb.net.endpoint.EndpointClient;
+import io.hawthornlb.net.endpoint.EndpointResponse;
 import io.hawthornlb.net.endpoint.TrafficKind;
-import io.hawthornlb.net.endpoint.WholeAnswer;
 import java.io.IOException;
 import java.time.Duration;
 import java.time.Instant;
@@ -77,7 +77,7 @@
                     System.Logger.Level.DEBUG, "endpoints: {0}{1} gave no report", address, uri));
   }
 
-  private void read(WholeAnswer answer, AnswerHandler handler) {
+  private void read(EndpointResponse answer, AnswerHandler handler) {
     if (!answer.successful()) {
       return;
     }
@@ -122,7 +122,7 @@
     }
   }
 
-  private static Observation health(WholeAnswer answer) {
+  private static Observation health(EndpointResponse answer) {
     if (answer.successful()) {
       return Observation.HEALTHY;
     }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/http/ChatController.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/http/ChatController.java
@@ -4,7 +4,7 @@
 import io.hawthornlb.app.dispatch.ChatCall;
 import io.hawthornlb.app.dispatch.ChatService;
 import io.hawthornlb.core.model.Refusal;
-import io.hawthornlb.net.endpoint.WholeAnswer;
+import io.hawthornlb.net.endpoint.EndpointResponse;
 import io.micronaut.context.annotation.Requires;
 import io.micronaut.http.HttpRequest;
 import io.micronaut.http.HttpResponse;
@@ -63,7 +63,7 @@
         .onErrorResume(error -> Mono.just(ProblemResponses.of(error)));
   }
 
-  private static MutableHttpResponse<?> response(WholeAnswer answer) {
+  private static MutableHttpResponse<?> response(EndpointResponse answer) {
     return HttpResponse.status(answer.status(), "")
         .contentType(MediaType.APPLICATION_JSON_TYPE)
         .body(answer.body());
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/http/ServicesController.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/http/ServicesController.java
@@ -10,7 +10,7 @@
 import io.hawthornlb.core.model.Refusal;
 import io.hawthornlb.core.model.RefusalReason;
 import io.hawthornlb.core.model.ServiceName;
-import io.hawthornlb.net.endpoint.WholeAnswer;
+import io.hawthornlb.net.endpoint.EndpointResponse;
 import io.micronaut.context.annotation.Requires;
 import io.micronaut.http.HttpHeaders;
 import io.micronaut.http.HttpRequest;
@@ -204,7 +204,7 @@
     return fields;
   }
 
-  private static MutableHttpResponse<?> response(WholeAnswer answer) {
+  private static MutableHttpResponse<?> response(EndpointResponse answer) {
     MutableHttpResponse<byte[]> response = HttpResponse.status(answer.status(), "");
     for (HeaderField field : answer.headers()) {
       response.header(field.name(), field.value());
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/partition/RunOnceService.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/partition/RunOnceService.java
@@ -16,7 +16,7 @@
 import io.hawthornlb.core.runonce.RunOnceRequest;
 import io.hawthornlb.core.runonce.ServiceCall;
 import io.hawthornlb.core.suspect.Fingerprint;
-import io.hawthornlb.net.endpoint.WholeAnswer;
+import io.hawthornlb.net.endpoint.EndpointResponse;
 import java.time.InstantSource;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -35,7 +35,7 @@
   private final EffectSink outward;
   private final DecisionLoop loop;
   private final InstantSource clock;
-  private final Map<RequestId, MonoSink<WholeAnswer>> callers = new HashMap<>();
+  private final Map<RequestId, MonoSink<EndpointResponse>> callers = new HashMap<>();
 
   /** Creates the service. */
   public RunOnceService(
@@ -52,7 +52,7 @@
   }
 
   @Override
-  public Mono<WholeAnswer> call(PlainCall call) {
+  public Mono<EndpointResponse> call(PlainCall call) {
     if (PlainDispatcher.idempotent(call)) {
       return direct.call(call);
     }
@@ -74,7 +74,7 @@
     return callers.size();
   }
 
-  private void submit(PlainCall call, MonoSink<WholeAnswer> sink) {
+  private void submit(PlainCall call, MonoSink<EndpointResponse> sink) {
     RequestId id = new RequestId(UUID.randomUUID().toString());
     callers.put(id, sink);
     perform(forwarder.submit(id, request(call), clock.instant()));
@@ -107,7 +107,7 @@
     outward.perform(others);
   }
 
-  private static void answer(@Nullable MonoSink<WholeAnswer> sink, RunOnceAnswer answer) {
+  private static void answer(@Nullable MonoSink<EndpointResponse> sink, RunOnceAnswer answer) {
     if (sink == null) {
       return;
     }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/partition/ServiceBodies.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/partition/ServiceBodies.java
@@ -1,7 +1,7 @@
 package io.hawthornlb.app.partition;
 
 import io.hawthornlb.core.runonce.ServiceResult;
-import io.hawthornlb.net.endpoint.WholeAnswer;
+import io.hawthornlb.net.endpoint.EndpointResponse;
 import java.nio.charset.StandardCharsets;
 
 /**
@@ -21,11 +21,11 @@
     return body.getBytes(StandardCharsets.ISO_8859_1);
   }
 
-  static ServiceResult result(WholeAnswer answer) {
+  static ServiceResult result(EndpointResponse answer) {
     return new ServiceResult(answer.status(), answer.headers(), text(answer.body()));
   }
 
-  static WholeAnswer answer(ServiceResult result) {
-    return new WholeAnswer(result.status(), result.headers(), bytes(result.body()));
+  static EndpointResponse answer(ServiceResult result) {
+    return new EndpointResponse(result.status(), result.headers(), bytes(result.body()));
   }
 }
--- a/hawthornlb-net/src/main/java/io/hawthornlb/net/endpoint/EndpointClient.java
+++ b/hawthornlb-net/src/main/java/io/hawthornlb/net/endpoint/EndpointClient.java
@@ -12,7 +12,7 @@
 public interface EndpointClient extends AutoCloseable {
 
   /** Returns the complete response. Fails if it has not arrived within the timeout. */
-  Mono<WholeAnswer> exchange(EndpointCall call, Duration timeout);
+  Mono<EndpointResponse> exchange(EndpointCall call, Duration timeout);
 
   /**
    * Returns the data of each event of a token stream.
--- a/hawthornlb-net/src/main/java/io/hawthornlb/net/endpoint/WholeAnswer.java
+++ b/hawthornlb-net/src/main/java/io/hawthornlb/net/endpoint/EndpointResponse.java
@@ -10,12 +10,12 @@
  * @param headers the end-to-end header fields
  * @param body the body
  */
-public record WholeAnswer(int status, List<HeaderField> headers, byte[] body) {
+public record EndpointResponse(int status, List<HeaderField> headers, byte[] body) {
 
   private static final int FIRST_ERROR_STATUS = 400;
 
   /** Copies the headers. */
-  public WholeAnswer {
+  public EndpointResponse {
     headers = List.copyOf(headers);
   }
 
--- a/hawthornlb-net/src/main/java/io/hawthornlb/net/endpoint/support/HttpEndpointClient.java
+++ b/hawthornlb-net/src/main/java/io/hawthornlb/net/endpoint/support/HttpEndpointClient.java
@@ -5,8 +5,8 @@
 import io.hawthornlb.net.endpoint.EndpointCallException;
 import io.hawthornlb.net.endpoint.EndpointClient;
 import io.hawthornlb.net.endpoint.EndpointFault;
+import io.hawthornlb.net.endpoint.EndpointResponse;
 import io.hawthornlb.net.endpoint.TrafficKind;
-import io.hawthornlb.net.endpoint.WholeAnswer;
 import io.micronaut.http.HttpMethod;
 import io.micronaut.http.HttpRequest;
 import io.micronaut.http.HttpResponse;
@@ -73,7 +73,7 @@
   }
 
   @Override
-  public Mono<WholeAnswer> exchange(EndpointCall call, Duration timeout) {
+  public Mono<EndpointResponse> exchange(EndpointCall call, Duration timeout) {
     HttpClient client = clients.get(call.kind());
     return Mono.from(client.exchange(request(call), byte[].class))
         .timeout(timeout)
@@ -125,18 +125,19 @@
     return request;
   }
 
-  private static WholeAnswer toResponse(HttpResponse<byte[]> response) {
+  private static EndpointResponse toResponse(HttpResponse<byte[]> response) {
     byte[] body = response.getBody(byte[].class).orElseGet(() -> new byte[0]);
-    return new WholeAnswer(response.code(), endToEndHeaders(response), body);
+    return new EndpointResponse(response.code(), endToEndHeaders(response), body);
   }
 
-  private static Mono<WholeAnswer> toErrorResponse(Throwable error) {
+  private static Mono<EndpointResponse> toErrorResponse(Throwable error) {
     if (!(error instanceof HttpClientResponseException failed)) {
       return Mono.error(error);
     }
     Optional<byte[]> body = failed.getResponse().getBody(byte[].class);
     List<HeaderField> headers = endToEndHeaders(failed.getResponse());
-    return Mono.just(new WholeAnswer(failed.code(), headers, body.orElseGet(() -> new byte[0])));
+    return Mono.just(
+        new EndpointResponse(failed.code(), headers, body.orElseGet(() -> new byte[0])));
   }
 
   private static List<HeaderField> endToEndHeaders(HttpResponse<?> response) {
