--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/EndpointMonitor.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/entry/EndpointMonitor.java
@@ -9,8 +9,8 @@
 import io.hawthornlb.core.routing.PrefixEvent;
 import io.hawthornlb.net.endpoint.EndpointCall;
 import io.hawthornlb.net.endpoint.EndpointClient;
+import io.hawthornlb.net.endpoint.EndpointResponse;
 import io.hawthornlb.net.endpoint.TrafficKind;
-import io.hawthornlb.net.endpoint.WholeAnswer;
 import java.io.IOException;
 import java.time.Duration;
 import java.time.Instant;
@@ -84,7 +84,7 @@
                     System.Logger.Level.DEBUG, "endpoints: no report from {0}{1}", address, uri));
   }
 
-  private void read(WholeAnswer answer, AnswerHandler handler) {
+  private void read(EndpointResponse answer, AnswerHandler handler) {
     if (!answer.successful()) {
       return;
     }
@@ -129,7 +129,7 @@
     }
   }
 
-  private static Observation health(WholeAnswer answer) {
+  private static Observation health(EndpointResponse answer) {
     if (answer.successful()) {
       return Observation.HEALTHY;
     }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/partition/PartitionHost.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/partition/PartitionHost.java
@@ -114,12 +114,12 @@
 
   /** Returns whether the folded state is complete and the follower has read the stream. */
   boolean complete() {
-    return fold.complete() && follower.knownAsOf().isPresent();
+    return fold.complete() && follower.freshAsOf().isPresent();
   }
 
   /** Returns whether the state includes every record that was in the stream at a time. */
   boolean knowsAllBefore(Instant time) {
-    return follower.knownAsOf().filter(known -> !known.isBefore(time)).isPresent();
+    return follower.freshAsOf().filter(known -> !known.isBefore(time)).isPresent();
   }
 
   PartitionId id() {
