--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/dispatch/ChatDispatcher.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/dispatch/ChatDispatcher.java
@@ -8,9 +8,9 @@
 import io.hawthornlb.net.endpoint.EndpointCallException;
 import io.hawthornlb.net.endpoint.EndpointClient;
 import io.hawthornlb.net.endpoint.EndpointFault;
+import io.hawthornlb.net.endpoint.EndpointResponse;
 import io.hawthornlb.net.endpoint.EngineStreams;
 import io.hawthornlb.net.endpoint.TrafficKind;
-import io.hawthornlb.net.endpoint.WholeAnswer;
 import java.time.Duration;
 import java.time.InstantSource;
 import java.util.List;
@@ -19,13 +19,13 @@
 import reactor.core.publisher.Flux;
 import reactor.core.publisher.Mono;
 
-/** Serves chat completions from engines. */
+/** Serves chat completions by calls to engines. */
 public final class ChatDispatcher implements ChatService {
 
   private static final int FIRST_SERVER_ERROR = 500;
   private static final int SERVICE_UNAVAILABLE = 503;
   private static final int TOO_MANY_REQUESTS = 429;
-  private static final Duration LONGEST_TOKEN_TIME = Duration.ofMillis(200);
+  private static final Duration MAX_TIME_PER_TOKEN = Duration.ofMillis(200);
 
   private final AttemptRunner runner;
   private final OnlineDecisions decisions;
@@ -50,8 +50,8 @@
   }
 
   @Override
-  public Mono<WholeAnswer> complete(ChatCall call) {
-    return runner.run(request(call), attempt -> whole(attempt, call));
+  public Mono<EndpointResponse> complete(ChatCall call) {
+    return runner.run(request(call), attempt -> exchangeOnce(attempt, call));
   }
 
   @Override
@@ -64,10 +64,10 @@
         });
   }
 
-  private Mono<WholeAnswer> whole(RoutedAttempt attempt, ChatCall call) {
+  private Mono<EndpointResponse> exchangeOnce(RoutedAttempt attempt, ChatCall call) {
     AtomicBoolean answered = new AtomicBoolean();
     return endpoints
-        .exchange(engineCall(attempt, call), wholeTimeout(attempt))
+        .exchange(engineCall(attempt, call), answerTimeout(attempt))
         .flatMap(ChatDispatcher::checked)
         .doOnNext(answer -> answered.set(true))
         .doOnNext(answer -> decisions.answering(attempt))
@@ -82,23 +82,24 @@
   }
 
   /**
-   * Bounds the wait for a whole answer by what the slowest engine needs for it.
+   * Returns the timeout for a complete answer: the time that the slowest engine needs for it, or
+   * the remaining time until the deadline if that is shorter.
    *
-   * <p>A connection that has gone silent never fails on its own: without this bound the caller
-   * would wait until the deadline although another endpoint could still answer in time.
+   * <p>A connection on which no more data arrives does not fail on its own. Without this timeout
+   * the caller would wait until the deadline, although another endpoint could still answer in time.
    */
-  private static Duration wholeTimeout(RoutedAttempt attempt) {
+  private static Duration answerTimeout(RoutedAttempt attempt) {
     OnlineRequest request = attempt.request();
     Duration slowest =
         request
             .service()
             .firstToken()
             .multipliedBy(2)
-            .plus(LONGEST_TOKEN_TIME.multipliedBy(request.maxTokens()));
+            .plus(MAX_TIME_PER_TOKEN.multipliedBy(request.maxTokens()));
     return slowest.compareTo(attempt.remaining()) < 0 ? slowest : attempt.remaining();
   }
 
-  private static Mono<WholeAnswer> checked(WholeAnswer answer) {
+  private static Mono<EndpointResponse> checked(EndpointResponse answer) {
     if (answer.status() == SERVICE_UNAVAILABLE || answer.status() == TOO_MANY_REQUESTS) {
       return Mono.error(
           new EndpointCallException(EndpointFault.DECLINED, "the engine declined", null));
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/dispatch/PlainDispatcher.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/dispatch/PlainDispatcher.java
@@ -7,15 +7,15 @@
 import io.hawthornlb.net.endpoint.EndpointCallException;
 import io.hawthornlb.net.endpoint.EndpointClient;
 import io.hawthornlb.net.endpoint.EndpointFault;
+import io.hawthornlb.net.endpoint.EndpointResponse;
 import io.hawthornlb.net.endpoint.TrafficKind;
-import io.hawthornlb.net.endpoint.WholeAnswer;
 import java.time.InstantSource;
 import java.util.List;
 import java.util.Set;
 import java.util.function.Supplier;
 import reactor.core.publisher.Mono;
 
-/** Serves calls to plain services that need no durable intent. */
+/** Serves calls to plain services directly, without a durable intent. */
 public final class PlainDispatcher implements PlainService {
 
   private static final int SERVICE_UNAVAILABLE = 503;
@@ -41,8 +41,8 @@
   }
 
   @Override
-  public Mono<WholeAnswer> call(PlainCall call) {
-    return runner.run(request(call), attempt -> once(attempt, call));
+  public Mono<EndpointResponse> call(PlainCall call) {
+    return runner.run(request(call), attempt -> callOnce(attempt, call));
   }
 
   /** Returns whether a call may be executed more than once. */
@@ -55,7 +55,7 @@
         || (repeatability == Repeatability.SAFE_METHODS && SAFE_METHODS.contains(call.method()));
   }
 
-  private Mono<WholeAnswer> once(RoutedAttempt attempt, PlainCall call) {
+  private Mono<EndpointResponse> callOnce(RoutedAttempt attempt, PlainCall call) {
     EndpointCall sent =
         new EndpointCall(
             attempt.address(),
@@ -72,12 +72,13 @@
   }
 
   /**
-   * Passes every answer but "unavailable" of a call that may be repeated.
+   * Fails with {@link EndpointFault#DECLINED} for status 503 if the call may be repeated, and
+   * returns every other answer unchanged.
    *
-   * <p>A service that answers 503 to a call that must run at most once may have acted before it
-   * failed, so the caller gets that answer as it is.
+   * <p>A service that answers 503 to a call that must run at most once may have processed the call
+   * before it failed. The caller therefore receives that answer unchanged.
    */
-  private static Mono<WholeAnswer> checked(WholeAnswer answer, RoutedAttempt attempt) {
+  private static Mono<EndpointResponse> checked(EndpointResponse answer, RoutedAttempt attempt) {
     if (answer.status() == SERVICE_UNAVAILABLE && attempt.request().idempotent()) {
       return Mono.error(
           new EndpointCallException(EndpointFault.DECLINED, "the service declined", null));
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/partition/RunOnceService.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/partition/RunOnceService.java
@@ -16,7 +16,7 @@
 import io.hawthornlb.core.runonce.RunOnceRequest;
 import io.hawthornlb.core.runonce.ServiceCall;
 import io.hawthornlb.core.suspect.Fingerprint;
-import io.hawthornlb.net.endpoint.WholeAnswer;
+import io.hawthornlb.net.endpoint.EndpointResponse;
 import java.time.InstantSource;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -27,7 +27,10 @@
 import reactor.core.publisher.Mono;
 import reactor.core.publisher.MonoSink;
 
-/** Sends calls that must run at most once to the holders of their keys, others straight on. */
+/**
+ * Forwards calls that must run at most once to the holders of their keys. Calls that may be
+ * repeated go directly to an endpoint.
+ */
 public final class RunOnceService implements PlainService {
 
   private final PlainService direct;
@@ -35,7 +38,7 @@
   private final EffectSink outward;
   private final DecisionLoop loop;
   private final InstantSource clock;
-  private final Map<RequestId, MonoSink<WholeAnswer>> callers = new HashMap<>();
+  private final Map<RequestId, MonoSink<EndpointResponse>> callers = new HashMap<>();
 
   /** Creates the service. */
   public RunOnceService(
@@ -52,29 +55,32 @@
   }
 
   @Override
-  public Mono<WholeAnswer> call(PlainCall call) {
+  public Mono<EndpointResponse> call(PlainCall call) {
     if (PlainDispatcher.idempotent(call)) {
       return direct.call(call);
     }
     return loop.ask(sink -> submit(call, sink));
   }
 
-  /** Takes the answer of a holder; on the loop. */
-  public void answered(RunOnceAnswered message) {
+  /** Handles the answer of a holder. Call this method on the decision loop. */
+  public void onAnswer(RunOnceAnswered message) {
     perform(forwarder.answered(message, clock.instant()));
   }
 
-  /** Looks for new holders and passed deadlines; on the loop, several times a second. */
+  /**
+   * Forwards requests whose holder changed and ends those past their deadline. Call this method on
+   * the decision loop, several times a second.
+   */
   public void tick() {
     perform(forwarder.tick(clock.instant()));
   }
 
-  /** Returns how many callers wait; on the loop. */
+  /** Returns the number of waiting callers. Call this method on the decision loop. */
   public int inProgress() {
     return callers.size();
   }
 
-  private void submit(PlainCall call, MonoSink<WholeAnswer> sink) {
+  private void submit(PlainCall call, MonoSink<EndpointResponse> sink) {
     RequestId id = new RequestId(UUID.randomUUID().toString());
     callers.put(id, sink);
     perform(forwarder.submit(id, request(call), clock.instant()));
@@ -107,7 +113,7 @@
     outward.perform(others);
   }
 
-  private static void answer(@Nullable MonoSink<WholeAnswer> sink, RunOnceAnswer answer) {
+  private static void answer(@Nullable MonoSink<EndpointResponse> sink, RunOnceAnswer answer) {
     if (sink == null) {
       return;
     }
--- a/hawthornlb-app/src/main/java/io/hawthornlb/app/partition/ServiceBodies.java
+++ b/hawthornlb-app/src/main/java/io/hawthornlb/app/partition/ServiceBodies.java
@@ -1,13 +1,14 @@
 package io.hawthornlb.app.partition;
 
 import io.hawthornlb.core.runonce.ServiceResult;
-import io.hawthornlb.net.endpoint.WholeAnswer;
+import io.hawthornlb.net.endpoint.EndpointResponse;
 import java.nio.charset.StandardCharsets;
 
 /**
- * Turns answers between the forms of endpoints and of records.
+ * Converts service answers between the types of the endpoint client and of the log records.
  *
- * <p>Bodies travel as text with one character a byte, so that every byte arrives as it was.
+ * <p>A body is converted to text in ISO 8859-1, with one character for each byte. This conversion
+ * preserves every byte.
  */
 final class ServiceBodies {
 
@@ -21,11 +22,11 @@
     return body.getBytes(StandardCharsets.ISO_8859_1);
   }
 
-  static ServiceResult result(WholeAnswer answer) {
+  static ServiceResult result(EndpointResponse answer) {
     return new ServiceResult(answer.status(), answer.headers(), text(answer.body()));
   }
 
-  static WholeAnswer answer(ServiceResult result) {
-    return new WholeAnswer(result.status(), result.headers(), bytes(result.body()));
+  static EndpointResponse answer(ServiceResult result) {
+    return new EndpointResponse(result.status(), result.headers(), bytes(result.body()));
   }
 }
--- a/hawthornlb-app/src/test/java/io/hawthornlb/app/entry/WitnessBench.java
+++ b/hawthornlb-app/src/test/java/io/hawthornlb/app/entry/ReplicaBench.java
@@ -11,7 +11,7 @@
 import io.hawthornlb.core.runonce.RunOnceKey;
 import io.hawthornlb.core.runonce.ServiceResult;
 import io.hawthornlb.core.runonce.StoreEntries;
-import io.hawthornlb.core.runonce.support.SimpleWitnessTable;
+import io.hawthornlb.core.runonce.support.InMemoryReplicaTable;
 import io.hawthornlb.net.codec.MessagePackCodec;
 import java.util.ArrayList;
 import java.util.List;
@@ -20,9 +20,9 @@
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
 
-/** Bytes, processor time and heap of entries that a witness stores. */
+/** Measures message size, CPU time and heap use of the entries that a replica stores. */
 @Tag("bench")
-class WitnessBench {
+class ReplicaBench {
 
   private static final InstanceId HOLDER = new InstanceId("entry-117");
   private static final Epoch EPOCH = new Epoch(100_000);
@@ -41,7 +41,7 @@
   }
 
   private void report(String name, StoreEntries message) {
-    SimpleWitnessTable table = new SimpleWitnessTable(new InstanceId("entry-0"), NO_BOUND);
+    InMemoryReplicaTable table = new InMemoryReplicaTable(new InstanceId("entry-0"), NO_BOUND);
     byte[] bytes = codec.encode(message);
     double encode = CapacityFixture.cpuMicros(() -> codec.encode(message));
     double handle =
@@ -52,7 +52,7 @@
                     .ifPresent(store -> table.store((StoreEntries) store, CapacityFixture.START)));
     System.out.printf(
         Locale.ROOT,
-        "| %s | %d bytes | %.1f us to encode | %.1f us to decode and take |%n",
+        "| %s | %d bytes | %.1f us to encode | %.1f us to decode and handle |%n",
         name,
         bytes.length,
         encode,
@@ -63,7 +63,7 @@
   void heap() {
     for (int keys : new int[] {2_000, 20_000, 100_000}) {
       long before = CapacityFixture.usedBytes();
-      SimpleWitnessTable table = new SimpleWitnessTable(new InstanceId("entry-0"), NO_BOUND);
+      InMemoryReplicaTable table = new InMemoryReplicaTable(new InstanceId("entry-0"), NO_BOUND);
       for (int first = 0; first < keys; first += GROUP) {
         byte[] bytes = codec.encode(store(first, GROUP, true));
         codec
@@ -73,7 +73,7 @@
       double used = CapacityFixture.usedBytes() - before;
       System.out.printf(
           Locale.ROOT,
-          "| witness with %d keys and results of 400 bytes | %.0f bytes a key |%n",
+          "| replica with %d keys and results of 400 bytes | %.0f bytes a key |%n",
           table.size(),
           used / keys);
     }
--- a/hawthornlb-core/src/test/java/io/hawthornlb/core/harness/Node.java
+++ b/hawthornlb-core/src/test/java/io/hawthornlb/core/harness/Node.java
@@ -35,6 +35,7 @@
 import io.hawthornlb.core.runonce.OutcomeRead;
 import io.hawthornlb.core.runonce.OutcomeUnreadable;
 import io.hawthornlb.core.runonce.ReadOutcome;
+import io.hawthornlb.core.runonce.ReplicaTable;
 import io.hawthornlb.core.runonce.RunCall;
 import io.hawthornlb.core.runonce.RunOnceAdvanced;
 import io.hawthornlb.core.runonce.RunOnceAnswered;
@@ -44,11 +45,10 @@
 import io.hawthornlb.core.runonce.RunOnceRequest;
 import io.hawthornlb.core.runonce.RunOnceTick;
 import io.hawthornlb.core.runonce.StoreEntries;
-import io.hawthornlb.core.runonce.WitnessTable;
 import io.hawthornlb.core.runonce.support.DefaultRunOnceCoordinator;
 import io.hawthornlb.core.runonce.support.DefaultRunOnceForwarder;
+import io.hawthornlb.core.runonce.support.InMemoryReplicaTable;
 import io.hawthornlb.core.runonce.support.RunOnceFold;
-import io.hawthornlb.core.runonce.support.SimpleWitnessTable;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayList;
@@ -58,7 +58,10 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** One instance: folds the stream, decides, and carries out effects on the fakes. */
+/**
+ * Simulated instance that folds the stream, runs the coordinators and performs their effects on the
+ * fakes.
+ */
 public final class Node implements ClaimView {
 
   private static final Duration RESEND = Duration.ofMillis(50);
@@ -68,7 +71,7 @@
   private final JobFold jobFold = new JobFold(true);
   private final RunOnceFold runOnceFold = new RunOnceFold();
   private final PartitionFold fold;
-  private final WitnessTable table;
+  private final ReplicaTable table;
   private final DefaultHeldPartition held;
   private final RunOnceCoordinator runOnce;
   private final JobCoordinator jobs;
@@ -76,7 +79,7 @@
   private final Map<RecordId, AppendRecord> unacknowledged = new LinkedHashMap<>();
   private final Map<RecordId, Instant> sentAt = new LinkedHashMap<>();
   private final List<Runnable> inbox = new ArrayList<>();
-  private final Steward steward;
+  private final FakeDispatcher dispatcher;
   private Consumer<AnswerCaller> answers = answer -> {};
   private Consumer<JobAnswer> jobAnswers = answer -> {};
   private Optional<Claim> knownClaim = Optional.empty();
@@ -86,8 +89,8 @@
   Node(InstanceId id, Cluster cluster, NodeParts parts) {
     this.id = id;
     this.cluster = cluster;
-    WitnessTable fenced = new SimpleWitnessTable(id, 1 << 22);
-    this.table = parts.variant() == Variant.WITHOUT_FENCE ? new UnfencedWitnessTable(id) : fenced;
+    ReplicaTable fenced = new InMemoryReplicaTable(id, 1 << 22);
+    this.table = parts.variant() == Variant.WITHOUT_FENCE ? new UnfencedReplicaTable(id) : fenced;
     RecordIdSource ids = new RecordIdSource(id);
     Duration retention = parts.jobs().logRetention();
     this.fold = new DefaultPartitionFold(0, retention, List.of(jobFold, runOnceFold));
@@ -101,7 +104,7 @@
         new DefaultJobCoordinator(
             Cluster.PARTITION, fold, jobFold, held, ids, parts.order(), parts.jobs());
     this.forwarder = new DefaultRunOnceForwarder(id, this, 10_000);
-    this.steward = new Steward(this, cluster);
+    this.dispatcher = new FakeDispatcher(this, cluster);
   }
 
   public InstanceId id() {
@@ -116,11 +119,11 @@
     return runOnceFold;
   }
 
-  public Steward steward() {
-    return steward;
+  public FakeDispatcher dispatcher() {
+    return dispatcher;
   }
 
-  public WitnessTable table() {
+  public ReplicaTable table() {
     return table;
   }
 
@@ -132,7 +135,7 @@
     return runOnce;
   }
 
-  /** Whether the node holds the partition as far as it knows. */
+  /** Returns whether the node holds the partition as far as it knows. */
   public boolean holds() {
     return held.claim().isPresent();
   }
@@ -208,10 +211,10 @@
   }
 
   void receive(InstanceId sender, PeerMessage message) {
-    if (message instanceof StoreEntries question) {
-      cluster.send(id, sender, table.store(question, cluster.now()));
-    } else if (message instanceof FenceAndCollect question) {
-      cluster.send(id, sender, table.fence(question));
+    if (message instanceof StoreEntries request) {
+      cluster.send(id, sender, table.store(request, cluster.now()));
+    } else if (message instanceof FenceAndCollect request) {
+      cluster.send(id, sender, table.fence(request));
     } else if (message instanceof ForgetEntries forget) {
       table.forget(forget);
     } else if (message instanceof RunOnceAnswered answer) {
@@ -219,11 +222,11 @@
     } else if (message instanceof JobAnswer answer) {
       jobAnswers.accept(answer);
     } else if (message instanceof ItemsDispatched dispatched) {
-      steward.run(dispatched);
+      dispatcher.run(dispatched);
     } else if (message instanceof ItemsCancelled cancelled) {
-      steward.cancel(cancelled);
+      dispatcher.cancel(cancelled);
     } else if (message instanceof ItemsSettled settled) {
-      steward.settled(settled);
+      dispatcher.settled(settled);
     } else if (message instanceof RunOnceEvent event) {
       runOnce(event);
     } else if (message instanceof JobEvent event) {
@@ -279,13 +282,16 @@
       runOnce(new RunOnceTick());
       job(new JobTick());
       perform(forwarder.tick(cluster.now()));
-      steward.tick();
+      dispatcher.tick();
       sendAppends();
     }
     cluster.schedule(cluster.delays().tick(), this::tick);
   }
 
-  /** Sends what has not been answered; an answer that was lost makes the log take it twice. */
+  /**
+   * Sends the appends that are not acknowledged. If an acknowledgement was lost, the log stores the
+   * record twice.
+   */
   private void sendAppends() {
     for (AppendRecord effect : List.copyOf(unacknowledged.values())) {
       Instant last = sentAt.get(effect.id());
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/front/Forwarding.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/front/Forwarding.java
@@ -1,7 +1,7 @@
 package io.hawthornlb.gateway.front;
 
 import com.dynatrace.hash4j.hashing.Hashing;
-import io.hawthornlb.gateway.endpoint.EndpointLife;
+import io.hawthornlb.gateway.endpoint.EndpointIncarnation;
 import io.hawthornlb.gateway.endpoint.EndpointRecord;
 import io.hawthornlb.gateway.event.EventLine;
 import io.hawthornlb.gateway.route.Route;
@@ -11,8 +11,8 @@
 import io.hawthornlb.gateway.slot.SlotOutcome;
 import io.hawthornlb.gateway.slot.SlotRequest;
 import io.hawthornlb.gateway.wire.EndpointCall;
+import io.hawthornlb.gateway.wire.ReportedLoad;
 import io.hawthornlb.gateway.wire.SilenceWatch;
-import io.hawthornlb.gateway.wire.ToldLoad;
 import io.netty.buffer.Unpooled;
 import io.netty.handler.codec.http.DefaultFullHttpRequest;
 import io.netty.handler.codec.http.DefaultHttpHeaders;
@@ -31,23 +31,27 @@
 import java.util.concurrent.TimeUnit;
 import org.jspecify.annotations.Nullable;
 
-/** One request on its way: gets a slot, is sent, and is sent again where the rules allow it. */
+/**
+ * One request that is being forwarded: acquires a slot, sends the request to the endpoint, and
+ * sends it again where {@link AttemptRules} allow it.
+ */
 final class Forwarding implements RequestHandler.Handling, SilenceWatch.Listener {
 
   /**
-   * Silence after which another endpoint is tried where the route allows it, as a multiple of the
-   * objective; a first event takes less than one, also on a crest.
+   * Silence after which the gateway tries another endpoint if the route allows it, as a multiple of
+   * the objective. A first event takes less than one objective, also at peak load.
    */
   private static final double STALL_OBJECTIVES = 2.0;
 
   /**
-   * Silence before a first event that is told to the coordinator, as a multiple of the objective.
-   * Requests do not queue at endpoints, so that an answer takes much less.
+   * Silence before a first event after which the gateway reports the endpoint to the coordinator as
+   * suspect, as a multiple of the objective. Requests do not queue at endpoints, so a response
+   * takes much less.
    */
   private static final double SUSPECT_OBJECTIVES = 0.8;
 
-  /** When to come back after endpoints turned a request away; slots come free meanwhile. */
-  private static final Duration TURNED_AWAY_RETRY = Duration.ofMillis(150);
+  /** Retry-After of a request that endpoints rejected; slots become free in the meantime. */
+  private static final Duration REJECTED_RETRY = Duration.ofMillis(150);
 
   private final ForwardingHandler.Parts parts;
   private final Route route;
@@ -56,16 +60,16 @@
   private final String id;
   private final String service;
   private final RequestTime time;
-  private final Set<EndpointLife> excluded = new HashSet<>();
+  private final Set<EndpointIncarnation> excluded = new HashSet<>();
   private final AnswerRelay relay;
   private final SilenceWatch watch;
   private @Nullable ScheduledFuture<?> timer;
   private @Nullable SlotKey slot;
   private @Nullable EndpointCall call;
-  private @Nullable EndpointLife endpoint;
-  private Instant asked = Instant.MIN;
+  private @Nullable EndpointIncarnation endpoint;
+  private Instant requestedAt = Instant.MIN;
   private int runs;
-  private int turnedAway;
+  private int rejections;
   private boolean done;
 
   Forwarding(
@@ -87,92 +91,99 @@
 
   void start() {
     long millis = Math.max(0, time.left().toMillis());
-    timer = parts.executor().schedule(this::outOfTime, millis, TimeUnit.MILLISECONDS);
+    timer = parts.executor().schedule(this::onTimeout, millis, TimeUnit.MILLISECONDS);
     acquire();
   }
 
   @Override
-  public void callerGone() {
+  public void onCallerDisconnected() {
     if (!done) {
       line("caller.gone").with("endpoint", endpointId()).write();
-      finish(abandoned());
+      finish(abandonedOutcome());
     }
   }
 
   @Override
-  public void drained() {
+  public void onWritable() {
     if (call != null) {
-      call.reading(true);
+      call.setReading(true);
     }
   }
 
   @Override
-  public void processEnds() {
+  public void onShutdown() {
     if (call != null) {
-      // It may have run, and nobody will learn whether it did.
+      // The request may have run, and the gateway will not learn whether it did.
       runs++;
     }
-    end(AttemptRules.gaveUp(state()), TURNED_AWAY_RETRY, "the process ends");
+    end(AttemptRules.finalStep(state()), REJECTED_RETRY, "the process shuts down");
   }
 
-  /** Is told by the relay that the caller reads slowly. */
+  /** Called by the relay when the caller reads too slowly: stops reading from the endpoint. */
   void pause() {
     if (call != null) {
-      call.reading(false);
+      call.setReading(false);
     }
   }
 
-  /** Is told the load of the endpoint; only one where requests wait is worth a message. */
-  void told(ToldLoad load) {
+  /**
+   * Called when a response reports the endpoint's load. Reports the load to the coordinator only if
+   * requests wait at the endpoint; any other load does not justify a message.
+   */
+  void onLoadReported(ReportedLoad load) {
     SlotKey held = slot;
     if (held != null && load.waiting() > 0) {
-      parts.slots().told(held, load);
+      parts.slots().reportLoad(held, load);
     }
   }
 
-  /** Is told that the endpoint did not run the request. */
-  void notRun(int status) {
+  /** Called when the endpoint reports that it did not run the request. */
+  void onNotRun(int status) {
     boolean replaced = status == 421;
-    turnedAway++;
+    rejections++;
     parts.metrics().count("endpoints.refused", String.valueOf(status));
     line("endpoint.refused").with("endpoint", endpointId()).with("status", status).write();
     excludeCurrent(replaced ? SlotOutcome.REPLACED : SlotOutcome.SHED);
-    proceed(AttemptRules.afterNotRun(state()), "endpoints turned it away");
+    proceed(AttemptRules.afterNotRun(state()), "endpoints rejected the request");
   }
 
-  /** Is told that no whole answer comes from the endpoint. */
-  void broken(boolean sent, String cause) {
+  /**
+   * Called when the endpoint will not deliver a complete response.
+   *
+   * @param sent whether the endpoint may have received the request
+   */
+  void onFailed(boolean sent, String cause) {
     parts.metrics().count("endpoints.failed", sent ? "after it was sent" : "not sent");
     line("endpoint.failed").with("endpoint", endpointId()).with("cause", cause).write();
     excludeCurrent(sent ? SlotOutcome.FAILED : SlotOutcome.UNREACHED);
     if (sent) {
       runs++;
-      proceed(AttemptRules.afterBreak(route, state()), cause);
+      proceed(AttemptRules.afterFailure(route, state()), cause);
     } else {
-      turnedAway++;
+      rejections++;
       proceed(AttemptRules.afterNotRun(state()), cause);
     }
   }
 
-  /** Is told that the endpoint does not go on where it was asked to. */
-  void strayed(String cause) {
+  /** Called when a resumed stream does not continue where the previous one broke off. */
+  void onSequenceBreak(String cause) {
     EndpointCall other = call;
     if (other != null) {
       other.abort();
     }
-    broken(true, cause);
+    onFailed(true, cause);
   }
 
-  /** Returns whether a failure that an endpoint answered may be hidden by another try. */
+  /** Returns whether a failure status of the endpoint may be replaced by another attempt. */
   boolean mayRetryFailure() {
     AttemptRules.State after =
-        new AttemptRules.State(runs + 1, turnedAway, false, time.allowsAttempt());
-    return AttemptRules.afterBreak(route, after) == NextStep.SEND_AGAIN;
+        new AttemptRules.State(runs + 1, rejections, false, time.allowsAttempt());
+    return AttemptRules.afterFailure(route, after) == NextStep.SEND_AGAIN;
   }
 
-  /** Is told that the caller has the whole answer. */
-  void answered(int status) {
-    Duration first = Duration.between(request.arrived(), relay.firstPassed());
+  /** Called when the complete response was passed to the caller's connection. */
+  void onAnswered(int status) {
+    Duration first = Duration.between(request.arrived(), relay.firstForwarded());
     parts.metrics().count("requests.answered", route.name());
     parts.metrics().time("requests.first", route.name(), first);
     parts.metrics().time("requests.whole", route.name(), Duration.ofMillis(time.sinceArrival()));
@@ -189,10 +200,10 @@
   }
 
   private void acquire() {
-    Duration maxWait = time.maxWait(relay.headSent() || runs > 0, turnedAway > 0);
+    Duration maxWait = time.maxWait(relay.headSent() || runs > 0, rejections > 0);
     SlotKey key = parts.slots().nextKey();
     slot = key;
-    asked = parts.clock().instant();
+    requestedAt = parts.clock().instant();
     SlotRequest wanted =
         new SlotRequest(
             key,
@@ -208,7 +219,9 @@
     parts.slots().acquire(wanted, this::onSlot);
   }
 
-  /** Recognizes a request that comes again under another id. */
+  /**
+   * Returns a hash by which a request is recognized when its caller repeats it under another id.
+   */
   private long fingerprint() {
     return Hashing.wyhashFinal4()
         .hashStream()
@@ -227,31 +240,31 @@
     }
     if (answer instanceof SlotAnswer.Granted granted) {
       parts.metrics().time("requests.slot", route.name(), Duration.ofMillis(time.sinceArrival()));
-      send(granted.life());
+      send(granted.incarnation());
     } else if (answer instanceof SlotAnswer.Refused refused) {
       slot = null;
-      noSlot(refused);
-      end(AttemptRules.gaveUp(state()), refused.retryAfter(), "no slot in time");
+      logNoSlot(refused);
+      end(AttemptRules.finalStep(state()), refused.retryAfter(), "no slot within the longest wait");
     }
   }
 
-  /** Logs what the coordinator saw, and how long ago it was asked. */
-  private void noSlot(SlotAnswer.Refused refused) {
+  /** Logs the slot counts the coordinator reported and the time since the slot was requested. */
+  private void logNoSlot(SlotAnswer.Refused refused) {
     line("slot.refused")
         .with("slots", refused.seen().slots())
         .with("used", refused.seen().used())
         .with("waiting", refused.seen().waiting())
         .with("excluded", excluded.size())
-        .with("askedMillisAgo", Duration.between(asked, parts.clock().instant()).toMillis())
+        .with("askedMillisAgo", Duration.between(requestedAt, parts.clock().instant()).toMillis())
         .write();
   }
 
-  private void send(EndpointLife life) {
-    endpoint = life;
-    Optional<EndpointRecord> target = parts.directory().find(life.id());
+  private void send(EndpointIncarnation incarnation) {
+    endpoint = incarnation;
+    Optional<EndpointRecord> target = parts.directory().find(incarnation.id());
     if (target.isEmpty() || target.get().leaving()) {
-      // The coordinator's list is behind this one's.
-      turnedAway++;
+      // The coordinator's list of endpoints is older than that of this process.
+      rejections++;
       excludeCurrent(SlotOutcome.REPLACED);
       proceed(AttemptRules.afterNotRun(state()), "the endpoint is leaving");
       return;
@@ -262,15 +275,18 @@
         .routine("front", "request.sent")
         .with("id", id)
         .with("route", route.name())
-        .with("endpoint", life.id())
+        .with("endpoint", incarnation.id())
         .with("runs", runs)
         .with("millis", time.sinceArrival())
         .write();
-    call = parts.pool().send(life, target.get().address(), outgoing(life.id()), relay);
+    call =
+        parts
+            .pool()
+            .send(incarnation, target.get().address(), endpointRequest(incarnation.id()), relay);
     watch.start();
   }
 
-  /** Tells the coordinator of a silent endpoint, so that others are placed elsewhere. */
+  /** Reports a silent endpoint to the coordinator, so that other requests are placed elsewhere. */
   @Override
   public void suspicious(Duration silence) {
     SlotKey held = slot;
@@ -284,15 +300,15 @@
   }
 
   /**
-   * Leaves a silent endpoint where the request may be repeated or resumed; the closed connection
-   * ends the work there, if the endpoint lives. Another request waits on, but those behind it are
-   * placed elsewhere.
+   * Abandons a silent endpoint if the request may be repeated or resumed. The closed connection
+   * ends the work there if the endpoint is still running. Any other request keeps waiting, and the
+   * endpoint is reported to the coordinator, so that further requests are placed elsewhere.
    */
   @Override
   public boolean stalled(Duration silence) {
     AttemptRules.State after =
-        new AttemptRules.State(runs + 1, turnedAway, relay.headSent(), time.allowsAttempt());
-    NextStep next = AttemptRules.afterBreak(route, after);
+        new AttemptRules.State(runs + 1, rejections, relay.headSent(), time.allowsAttempt());
+    NextStep next = AttemptRules.afterFailure(route, after);
     if (next != NextStep.SEND_AGAIN && next != NextStep.RESUME) {
       suspicious(silence);
       return true;
@@ -301,7 +317,7 @@
     if (silent != null) {
       silent.abort();
     }
-    broken(true, "silent for " + silence.toMillis() + " ms");
+    onFailed(true, "silent for " + silence.toMillis() + " ms");
     return false;
   }
 
@@ -309,7 +325,7 @@
     return endpoint == null ? null : endpoint.id();
   }
 
-  private FullHttpRequest outgoing(String endpointId) {
+  private FullHttpRequest endpointRequest(String endpointId) {
     HttpHeaders headers = ForwardedHeaders.toEndpoint(request.headers(), parts.names());
     headers.set(parts.names().remainingMillis(), Math.max(1, time.left().toMillis()));
     headers.set(parts.names().expectedEndpoint(), endpointId);
@@ -332,7 +348,7 @@
     if (step == NextStep.SEND_AGAIN || step == NextStep.RESUME) {
       acquire();
     } else {
-      end(step, TURNED_AWAY_RETRY, cause);
+      end(step, REJECTED_RETRY, cause);
     }
   }
 
@@ -345,18 +361,18 @@
         .with("step", step.name())
         .with("cause", cause)
         .with("runs", runs)
-        .with("turnedAway", turnedAway)
+        .with("turnedAway", rejections)
         .with("retryMillis", retryAfter.toMillis())
         .write();
     switch (step) {
-      case REFUSE -> responder.own(503, retryAfter);
-      case FAIL -> responder.own(502, null);
+      case REFUSE -> responder.sendStatus(503, retryAfter);
+      case FAIL -> responder.sendStatus(502, null);
       default -> responder.breakOff();
     }
     finish(SlotOutcome.ABANDONED);
   }
 
-  private void outOfTime() {
+  private void onTimeout() {
     if (done) {
       return;
     }
@@ -366,18 +382,19 @@
     if (relay.headSent()) {
       responder.breakOff();
     } else {
-      responder.own(sent || runs > 0 ? 504 : 503, sent || runs > 0 ? null : TURNED_AWAY_RETRY);
+      responder.sendStatus(sent || runs > 0 ? 504 : 503, sent || runs > 0 ? null : REJECTED_RETRY);
     }
-    finish(abandoned());
+    finish(abandonedOutcome());
   }
 
   /**
-   * Returns how the use of the slot ends when nobody waits for the answer any more.
+   * Returns the outcome of the slot's use when nobody waits for the response any more.
    *
-   * <p>Failure: an endpoint hangs on some of its requests, and callers leave. Were that taken for
-   * callers that lost interest, nothing would ever count against the endpoint.
+   * <p>An endpoint may hang on some of its requests until the callers disconnect. If every
+   * disconnect counted as a caller's loss of interest, no failure would ever count against the
+   * endpoint. The use therefore counts as failed if the endpoint had stalled.
    */
-  private SlotOutcome abandoned() {
+  private SlotOutcome abandonedOutcome() {
     return call != null && watch.stalled() ? SlotOutcome.FAILED : SlotOutcome.ABANDONED;
   }
 
@@ -387,8 +404,8 @@
       timer.cancel(false);
     }
     watch.stop();
-    boolean whole = outcome == SlotOutcome.ANSWERED || outcome == SlotOutcome.ERROR;
-    if (call != null && !whole) {
+    boolean complete = outcome == SlotOutcome.ANSWERED || outcome == SlotOutcome.ERROR;
+    if (call != null && !complete) {
       call.abort();
     }
     call = null;
@@ -412,19 +429,24 @@
   }
 
   private AttemptRules.State state() {
-    return new AttemptRules.State(runs, turnedAway, relay.headSent(), time.allowsAttempt());
+    return new AttemptRules.State(runs, rejections, relay.headSent(), time.allowsAttempt());
   }
 
   private Duration timeAllowed() {
-    String told = request.headers().get(parts.names().remainingMillis());
-    if (told == null) {
+    String remaining = request.headers().get(parts.names().remainingMillis());
+    if (remaining == null) {
       return route.timeout();
     }
     try {
-      Duration callers = Duration.ofMillis(Long.parseLong(told.trim()));
+      Duration callers = Duration.ofMillis(Long.parseLong(remaining.trim()));
       return callers.compareTo(route.timeout()) < 0 ? callers : route.timeout();
     } catch (NumberFormatException e) {
-      parts.log().routine("front", "budget.unreadable").with("id", id).with("value", told).write();
+      parts
+          .log()
+          .routine("front", "budget.unreadable")
+          .with("id", id)
+          .with("value", remaining)
+          .write();
       return route.timeout();
     }
   }
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/peer/PeerCodec.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/peer/PeerCodec.java
@@ -2,13 +2,13 @@
 
 import io.hawthornlb.gateway.decode.MessageReader;
 import io.hawthornlb.gateway.decode.UnreadableException;
-import io.hawthornlb.gateway.endpoint.EndpointLife;
+import io.hawthornlb.gateway.endpoint.EndpointIncarnation;
 import io.hawthornlb.gateway.slot.SlotAnswer;
 import io.hawthornlb.gateway.slot.SlotKey;
 import io.hawthornlb.gateway.slot.SlotOutcome;
 import io.hawthornlb.gateway.slot.SlotRequest;
 import io.hawthornlb.gateway.slot.SlotUse;
-import io.hawthornlb.gateway.wire.ToldLoad;
+import io.hawthornlb.gateway.wire.ReportedLoad;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.time.Duration;
@@ -20,7 +20,7 @@
 import org.msgpack.core.MessagePack;
 import org.msgpack.core.MessagePacker;
 
-/** Writes and reads datagrams as MessagePack. */
+/** Encodes and decodes datagrams as MessagePack. */
 public final class PeerCodec {
 
   private static final int ASK = 1;
@@ -36,12 +36,15 @@
   private static final int BARRED = 11;
 
   /**
-   * Longest time that a message tells; batch items wait for minutes at most. What is longer would
-   * overflow when it is added to an instant.
+   * Longest duration that a message may contain; batch items wait for minutes at most. A longer
+   * duration could overflow when it is added to an instant.
    */
   private static final Duration MAX_TIME = Duration.ofHours(6);
 
-  /** Most slots, uses or requests that a message counts, far above those of the largest fleet. */
+  /**
+   * Largest count of slots, uses or requests that a message may contain, far above those of the
+   * largest fleet.
+   */
   private static final int MAX_COUNT = 1_000_000;
 
   private PeerCodec() {}
@@ -54,21 +57,21 @@
    */
   public record Envelope(String sender, PeerMessage message) {}
 
-  /** Returns the bytes of a datagram. */
+  /** Encodes a datagram. */
   public static byte[] encode(Envelope envelope) {
     try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
       packer.packString(envelope.sender());
       pack(packer, envelope.message());
       return packer.toByteArray();
     } catch (IOException e) {
-      throw new UncheckedIOException("A buffer in memory failed", e);
+      throw new UncheckedIOException("writing to an in-memory buffer failed", e);
     }
   }
 
   /**
-   * Returns what a datagram holds.
+   * Decodes a datagram.
    *
-   * @throws UnreadableException if it is none of ours
+   * @throws UnreadableException if the bytes are no valid peer message
    */
   public static Envelope decode(byte[] bytes) {
     return MessageReader.read(
@@ -107,15 +110,15 @@
     packer.packLong(request.patience().toMillis());
     packer.packLong(request.fingerprint());
     packer.packArrayHeader(request.excluded().size());
-    for (EndpointLife life : request.excluded()) {
-      packLife(packer, life);
+    for (EndpointIncarnation incarnation : request.excluded()) {
+      packIncarnation(packer, incarnation);
     }
   }
 
   private static void packAnswer(MessageBufferPacker packer, SlotAnswer answer) throws IOException {
     if (answer instanceof SlotAnswer.Granted granted) {
       packKey(packer.packInt(GRANTED), answer.key());
-      packLife(packer, granted.life());
+      packIncarnation(packer, granted.incarnation());
     } else if (answer instanceof SlotAnswer.Waiting waiting) {
       packKey(packer.packInt(WAITING), answer.key());
       packer.packLong(waiting.atMost().toMillis());
@@ -133,7 +136,7 @@
     packer.packString(renew.service()).packString(renew.holder());
     packer.packArrayHeader(renew.uses().size());
     for (SlotUse use : renew.uses()) {
-      packLife(packer.packLong(use.number()), use.life());
+      packIncarnation(packer.packLong(use.number()), use.incarnation());
       packer.packBoolean(use.batch()).packLong(use.rank()).packLong(use.work().toMillis());
     }
   }
@@ -142,8 +145,9 @@
     packer.packString(key.holder()).packLong(key.number());
   }
 
-  private static void packLife(MessagePacker packer, EndpointLife life) throws IOException {
-    packer.packString(life.id()).packLong(life.born());
+  private static void packIncarnation(MessagePacker packer, EndpointIncarnation incarnation)
+      throws IOException {
+    packer.packString(incarnation.id()).packLong(incarnation.born());
   }
 
   private static PeerMessage unpack(MessageReader reader) throws IOException {
@@ -151,7 +155,8 @@
     return switch (type) {
       case ASK -> new PeerMessage.Ask(unpackRequest(reader));
       case GRANTED ->
-          new PeerMessage.Answer(new SlotAnswer.Granted(unpackKey(reader), unpackLife(reader)));
+          new PeerMessage.Answer(
+              new SlotAnswer.Granted(unpackKey(reader), unpackIncarnation(reader)));
       case WAITING ->
           new PeerMessage.Answer(
               new SlotAnswer.Waiting(unpackKey(reader), reader.millis("atMost", MAX_TIME)));
@@ -173,7 +178,7 @@
   private static SlotAnswer unpackRefused(MessageReader reader) throws IOException {
     SlotKey key = unpackKey(reader);
     Duration retryAfter = reader.millis("retryAfter", MAX_TIME);
-    // Counts of -1 say that the refusal was not due to load.
+    // A count of -1 means that load was not the reason for the refusal.
     SlotAnswer.Load seen =
         new SlotAnswer.Load(
             reader.number("slots", -1, MAX_COUNT),
@@ -194,7 +199,7 @@
     SlotKey key = unpackKey(reader);
     String service = reader.text();
     int running = reader.number("running", 0, MAX_COUNT);
-    ToldLoad load = new ToldLoad(running, reader.number("waiting", 0, MAX_COUNT));
+    ReportedLoad load = new ReportedLoad(running, reader.number("waiting", 0, MAX_COUNT));
     return new PeerMessage.Told(service, key, load);
   }
 
@@ -213,10 +218,10 @@
     Duration maxWait = reader.millis("maxWait", MAX_TIME);
     Duration patience = reader.millis("patience", MAX_TIME);
     long fingerprint = reader.number();
-    Set<EndpointLife> excluded = new HashSet<>();
+    Set<EndpointIncarnation> excluded = new HashSet<>();
     int size = reader.listSize();
     for (int i = 0; i < size; i++) {
-      excluded.add(unpackLife(reader));
+      excluded.add(unpackIncarnation(reader));
     }
     return new SlotRequest(
         key, service, batch, rank, work, dataCentre, maxWait, patience, fingerprint, excluded);
@@ -229,16 +234,16 @@
     int size = reader.listSize();
     for (int i = 0; i < size; i++) {
       long number = reader.number();
-      EndpointLife life = unpackLife(reader);
+      EndpointIncarnation incarnation = unpackIncarnation(reader);
       boolean batch = reader.flag();
       long rank = reader.number();
-      uses.add(new SlotUse(number, life, batch, rank, reader.millis("work", MAX_TIME)));
+      uses.add(new SlotUse(number, incarnation, batch, rank, reader.millis("work", MAX_TIME)));
     }
     return new PeerMessage.Renew(service, holder, uses);
   }
 
-  private static EndpointLife unpackLife(MessageReader reader) throws IOException {
-    return new EndpointLife(reader.text(), reader.number());
+  private static EndpointIncarnation unpackIncarnation(MessageReader reader) throws IOException {
+    return new EndpointIncarnation(reader.text(), reader.number());
   }
 
   private static SlotKey unpackKey(MessageReader reader) throws IOException {
--- a/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/wire/ConnectionCounts.java
+++ b/hawthornlb-gateway/src/main/java/io/hawthornlb/gateway/wire/ConnectionCounts.java
@@ -1,12 +1,15 @@
 package io.hawthornlb.gateway.wire;
 
-import io.hawthornlb.gateway.endpoint.EndpointLife;
+import io.hawthornlb.gateway.endpoint.EndpointIncarnation;
 import io.hawthornlb.gateway.metric.GatewayMetrics;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Optional;
 
-/** Counts connections to endpoints: how many are opened, and what became of those before. */
+/**
+ * Counts connections to endpoints, by the reason why a new one was opened and why older ones were
+ * closed.
+ */
 final class ConnectionCounts {
 
   private static final String REQUESTS = "connections.requests";
@@ -14,54 +17,60 @@
   private static final String CLOSED = "connections.closed";
 
   private final GatewayMetrics metrics;
-  private final Map<EndpointLife, Use> uses = new HashMap<>();
+  private final Map<EndpointIncarnation, Use> uses = new HashMap<>();
 
   ConnectionCounts(GatewayMetrics metrics) {
     this.metrics = metrics;
   }
 
-  /** Counts a request on a kept connection. */
-  void reused(EndpointLife endpoint) {
+  /** Counts a request that reuses an idle connection. */
+  void reused(EndpointIncarnation endpoint) {
     metrics.count(REQUESTS, "kept");
     use(endpoint).open++;
   }
 
-  /** Counts a request that needs a new connection, by what keeps it from an older one. */
-  void opened(EndpointLife endpoint) {
+  /**
+   * Counts a request that needs a new connection, by the reason why no older connection could be
+   * reused.
+   */
+  void opened(EndpointIncarnation endpoint) {
     metrics.count(REQUESTS, "opened");
     Use use = use(endpoint);
     metrics.count(OPENED, use.reason());
     use.open++;
   }
 
-  /** Takes that a request has ended and its connection rests. */
-  void kept(EndpointLife endpoint) {
+  /** Records that a request has ended and its connection is idle now. */
+  void onIdle(EndpointIncarnation endpoint) {
     known(endpoint).ifPresent(use -> use.open--);
   }
 
-  /** Counts the end of a connection that carried a request until now. */
-  void closed(EndpointLife endpoint, ConnectionEnd end) {
+  /** Counts the close of a connection that was in use. */
+  void closed(EndpointIncarnation endpoint, ConnectionEnd end) {
     known(endpoint).ifPresent(use -> use.open--);
-    closedAtRest(endpoint, end);
+    closedIdle(endpoint, end);
   }
 
-  /** Counts the end of a connection that rested. */
-  void closedAtRest(EndpointLife endpoint, ConnectionEnd end) {
+  /** Counts the close of an idle connection. */
+  void closedIdle(EndpointIncarnation endpoint, ConnectionEnd end) {
     metrics.count(CLOSED, end.label());
     known(endpoint).ifPresent(use -> use.lastEnd = end.label());
   }
 
-  /** Forgets an endpoint that is gone. */
-  void forget(EndpointLife endpoint) {
+  /** Removes the counts of an endpoint that has left. */
+  void forget(EndpointIncarnation endpoint) {
     uses.remove(endpoint);
   }
 
-  /** Returns the use of an endpoint; connections outlast one that was forgotten. */
-  private Optional<Use> known(EndpointLife endpoint) {
+  /**
+   * Returns the counts of an endpoint; empty if they were removed while connections were still
+   * open.
+   */
+  private Optional<Use> known(EndpointIncarnation endpoint) {
     return Optional.ofNullable(uses.get(endpoint));
   }
 
-  private Use use(EndpointLife endpoint) {
+  private Use use(EndpointIncarnation endpoint) {
     return uses.computeIfAbsent(endpoint, any -> new Use());
   }
 
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/job/JobFixture.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/job/JobFixture.java
@@ -1,6 +1,6 @@
 package io.hawthornlb.gateway.job;
 
-import io.hawthornlb.gateway.SilentEventLog;
+import io.hawthornlb.gateway.RecordingEventLog;
 import io.hawthornlb.gateway.endpoint.EndpointDirectory;
 import io.hawthornlb.gateway.endpoint.EndpointRecord;
 import io.hawthornlb.gateway.front.FrontRequest;
@@ -19,7 +19,7 @@
 import io.hawthornlb.gateway.store.LogStore;
 import io.hawthornlb.gateway.wire.EndpointPool;
 import io.hawthornlb.gateway.wire.HeaderNames;
-import io.hawthornlb.gateway.wire.ToldLoad;
+import io.hawthornlb.gateway.wire.ReportedLoad;
 import io.netty.channel.EventLoop;
 import java.net.InetSocketAddress;
 import java.time.Duration;
@@ -27,10 +27,10 @@
 import java.util.List;
 import java.util.Optional;
 
-/** What jobs need beside a log, an event loop and a clock. */
+/** Collaborators that tests of jobs need in addition to a log, an event loop and a clock. */
 final class JobFixture {
 
-  /** The one endpoint to which all items go. */
+  /** Id of the only endpoint, which gets all items. */
   static final String ENDPOINT = "e0";
 
   private static final HeaderNames NAMES =
@@ -45,7 +45,7 @@
 
   private JobFixture() {}
 
-  /** Returns a configuration whose one route takes jobs. */
+  /** Returns a configuration with one route, which accepts jobs. */
   static ConfigHolder config(int maxAttempts) {
     Route route =
         new Route(
@@ -66,7 +66,7 @@
     return config;
   }
 
-  /** Returns a directory of the one endpoint. */
+  /** Returns a directory with the only endpoint. */
   static EndpointDirectory directory(InetSocketAddress address) {
     EndpointDirectory directory = new EndpointDirectory();
     directory.put(new EndpointRecord(ENDPOINT, "engine", address, "a", 8, false));
@@ -90,11 +90,11 @@
         "a",
         loop,
         clock,
-        new SilentEventLog(),
+        new RecordingEventLog(),
         new GatewayMetrics());
   }
 
-  /** Notices that reach nobody. */
+  /** Notices that are not sent to any process. */
   static final class SilentNotices implements HoldNotices {
 
     @Override
@@ -104,7 +104,7 @@
     public void onHeld(Listener listener) {}
   }
 
-  /** Format that takes no request for a call about a job. */
+  /** Format that parses no request as a call about a job. */
   static final class NoCalls implements JobFormat {
 
     @Override
@@ -128,7 +128,7 @@
     }
   }
 
-  /** Grants each request at once. */
+  /** Slot client that grants each request immediately. */
   private static final class FreeSlots implements SlotClient {
 
     private long numbers;
@@ -145,7 +145,7 @@
     public void suspect(SlotKey key) {}
 
     @Override
-    public void told(SlotKey key, ToldLoad load) {}
+    public void reportLoad(SlotKey key, ReportedLoad load) {}
 
     @Override
     public SlotKey nextKey() {
--- a/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/slot/support/CoordinatorFixture.java
+++ b/hawthornlb-gateway/src/test/java/io/hawthornlb/gateway/slot/support/CoordinatorFixture.java
@@ -1,7 +1,7 @@
 package io.hawthornlb.gateway.slot.support;
 
 import io.hawthornlb.gateway.endpoint.EndpointDirectory;
-import io.hawthornlb.gateway.endpoint.EndpointLife;
+import io.hawthornlb.gateway.endpoint.EndpointIncarnation;
 import io.hawthornlb.gateway.endpoint.EndpointRecord;
 import io.hawthornlb.gateway.slot.SlotAnswer;
 import io.hawthornlb.gateway.slot.SlotKey;
@@ -16,7 +16,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** A coordinator of one service, with its clock. */
+/** A coordinator of one service, with a controllable clock. */
 final class CoordinatorFixture {
 
   static final String SERVICE = "engine";
@@ -50,7 +50,7 @@
     return request("a", true, due.toEpochMilli(), Set.of());
   }
 
-  /** Returns a batch item. */
+  /** Returns a request for a batch item. */
   SlotRequest item(Instant due, Duration work) {
     numbers++;
     return new SlotRequest(
@@ -66,7 +66,8 @@
         Set.of());
   }
 
-  SlotRequest request(String dataCentre, boolean batch, long rank, Set<EndpointLife> excluded) {
+  SlotRequest request(
+      String dataCentre, boolean batch, long rank, Set<EndpointIncarnation> excluded) {
     numbers++;
     return new SlotRequest(
         new SlotKey("holder", numbers),
@@ -83,29 +84,32 @@
     return coordinator.request(request, now);
   }
 
-  /** Looks at the time, as a gateway does that coordinates; returns what it has to tell. */
+  /**
+   * Calls {@code tick}, as the coordinating gateway does periodically; returns the answers to send.
+   */
   List<SlotAnswer> tick() {
     return coordinator.tick(now);
   }
 
-  /** Takes that a request uses its slot from now on, until {@link #ended}. */
+  /** Records that a request uses its slot from now on, until {@link #ended}. */
   void began(SlotRequest request, String endpoint) {
-    EndpointLife life = EndpointLife.ofUnknownStart(endpoint);
+    EndpointIncarnation incarnation = EndpointIncarnation.ofUnknownStart(endpoint);
     uses.put(
         request.key(),
-        new SlotUse(request.key().number(), life, request.batch(), request.rank(), request.work()));
+        new SlotUse(
+            request.key().number(), incarnation, request.batch(), request.rank(), request.work()));
   }
 
   void ended(SlotKey key) {
     uses.remove(key);
   }
 
-  /** Renews all uses, as their holders do every second. */
+  /** Renews all leases, as their holders do every second. */
   void renew() {
     coordinator.renew("holder", List.copyOf(uses.values()), now);
   }
 
-  /** Returns the endpoint that a request is granted at once. */
+  /** Sends a request that must be granted at once, and returns the endpoint. */
   String granted(SlotRequest request) {
     for (SlotAnswer answer : ask(request)) {
       if (answer instanceof SlotAnswer.Granted granted && granted.key().equals(request.key())) {
--- a/hawthornlb-net/src/main/java/io/hawthornlb/net/codec/PartitionTypes.java
+++ b/hawthornlb-net/src/main/java/io/hawthornlb/net/codec/PartitionTypes.java
@@ -26,18 +26,23 @@
 import io.hawthornlb.core.runonce.ForgetEntries;
 import io.hawthornlb.core.runonce.ForwardRunOnce;
 import io.hawthornlb.core.runonce.LateOutcome;
+import io.hawthornlb.core.runonce.ReplicaContents;
+import io.hawthornlb.core.runonce.ReplicasNamed;
+import io.hawthornlb.core.runonce.ReplicasReleased;
 import io.hawthornlb.core.runonce.RunOnceAnswered;
 import io.hawthornlb.core.runonce.StoreEntries;
-import io.hawthornlb.core.runonce.WitnessContents;
-import io.hawthornlb.core.runonce.WitnessesNamed;
-import io.hawthornlb.core.runonce.WitnessesReleased;
 
-/** Names of the records and messages of partitions; a name never changes its meaning. */
+/**
+ * Registers the wire names of the records and messages of partitions.
+ *
+ * <p>A name that has been used must never be given to another type, since stored records and other
+ * versions still use the name with the old meaning.
+ */
 public final class PartitionTypes {
 
   private PartitionTypes() {}
 
-  /** Adds the records of the streams of partitions. */
+  /** Registers the records of the partition streams. */
   public static TypeRegistry.Builder<RecordBody> records(TypeRegistry.Builder<RecordBody> builder) {
     return builder
         .register("partition-opened", PartitionOpened.class)
@@ -49,11 +54,11 @@
         .register("items-started", ItemsStarted.class)
         .register("item-outcomes", ItemOutcomes.class)
         .register("run-once-entries", EntriesRecorded.class)
-        .register("witnesses-named", WitnessesNamed.class)
-        .register("witnesses-released", WitnessesReleased.class);
+        .register("witnesses-named", ReplicasNamed.class)
+        .register("witnesses-released", ReplicasReleased.class);
   }
 
-  /** Adds the messages between holders, stewards, witnesses and other entries. */
+  /** Registers the messages between holders, dispatchers, replicas and other entry instances. */
   public static TypeRegistry.Builder<PeerMessage> messages(
       TypeRegistry.Builder<PeerMessage> builder) {
     return builder
@@ -73,7 +78,7 @@
         .register("entries-stored", EntriesStored.class)
         .register("forget-entries", ForgetEntries.class)
         .register("fence-and-collect", FenceAndCollect.class)
-        .register("witness-contents", WitnessContents.class)
+        .register("witness-contents", ReplicaContents.class)
         .register("late-outcome", LateOutcome.class);
   }
 }
--- a/hawthornlb-standin/src/main/java/io/hawthornlb/standin/service/ServiceStandin.java
+++ b/hawthornlb-standin/src/main/java/io/hawthornlb/standin/service/ServiceStandin.java
@@ -1,7 +1,7 @@
 package io.hawthornlb.standin.service;
 
 import io.hawthornlb.standin.RunningStandin;
-import io.hawthornlb.standin.fault.FaultBoard;
+import io.hawthornlb.standin.fault.ActiveFaults;
 import io.hawthornlb.standin.service.support.EchoService;
 import io.hawthornlb.standin.support.Announcer;
 import io.hawthornlb.standin.support.ProcessExit;
@@ -11,23 +11,23 @@
 import java.time.InstantSource;
 import java.util.List;
 
-/** Starts stand-ins of plain services. */
+/** Starts stand-ins for plain HTTP services. */
 public final class ServiceStandin {
 
-  /** The role of this kind of process. */
+  /** The value of {@link StandinServer#ROLE_PROPERTY} for service stand-ins. */
   public static final String ROLE = "standin-service";
 
   private ServiceStandin() {}
 
-  /** Starts a service that ends the process when a request crashes it. */
+  /** Starts a service that halts the process when a request triggers a crash fault. */
   public static RunningStandin start(ServiceSettings settings) {
     return start(settings, ProcessExit::crash);
   }
 
-  /** Starts a service that calls {@code exit} when a request crashes it. */
+  /** Starts a service that calls {@code exit} when a request triggers a crash fault. */
   public static RunningStandin start(ServiceSettings settings, Runnable exit) {
     StandinIdentity identity = settings.identity();
-    FaultBoard faults = new FaultBoard(InstantSource.system(), exit);
+    ActiveFaults faults = new ActiveFaults(InstantSource.system(), exit);
     CallCounter counter = new CallCounter(settings.maxKeys());
     EchoService echo = new EchoService(settings, counter);
     StandinServer server =
